--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -48,34 +48,35 @@
 
 bool forwarder::is_suspect(journey& one) const {
   if (one.broken_attempts > 0 || one.is_trial) return true;
-  return parts_.quarantine.is_watching() && parts_.quarantine.crashes_seen(identify(one)) > 0;
+  return dependencies_.quarantine.is_watching() &&
+         dependencies_.quarantine.crashes_seen(identify(one)) > 0;
 }
 
 awaitable<void> forwarder::record_suspicion(journey& one) {
-  bool const watching = parts_.quarantine.is_watching() || one.broken_attempts > 1;
+  bool const watching = dependencies_.quarantine.is_watching() || one.broken_attempts > 1;
   if (!watching || one.is_trial) co_return;
   // What this try has just met is perhaps still looked at.
   bool const met_two = one.broken_attempts > 1;
-  if (!met_two && !parts_.quarantine.must_be_recorded(identify(one))) co_return;
-  co_await parts_.quarantine.record_before_next_run(identify(one));
+  if (!met_two && !dependencies_.quarantine.must_be_recorded(identify(one))) co_return;
+  co_await dependencies_.quarantine.record_before_next_run(identify(one));
 }
 
 awaitable<bool> forwarder::is_held_back(journey& one) {
-  if (one.is_trial || !parts_.quarantine.is_watching()) co_return false;
+  if (one.is_trial || !dependencies_.quarantine.is_watching()) co_return false;
   quarantine::fingerprint const& request = identify(one);
   time_point const now = boot_clock::now();
-  quarantine::verdict const verdict = parts_.quarantine.check(request, now);
-  bool const waits = one.from == nullptr && parts_.quarantine.should_wait(request, now);
+  quarantine::verdict const verdict = dependencies_.quarantine.check(request, now);
+  bool const waits = one.from == nullptr && dependencies_.quarantine.should_wait(request, now);
   if (waits) one.is_quarantined = true;
   if (waits) co_return true;
   if (verdict == quarantine::verdict::allowed) co_return false;
   // Only a request that has not run yet is fit for a trial: its answer tells what came of it.
   bool const fit = verdict == quarantine::verdict::trial && one.attempts == 0;
-  if (fit) one.is_trial = co_await parts_.quarantine.claim_trial(request);
+  if (fit) one.is_trial = co_await dependencies_.quarantine.claim_trial(request);
   if (one.is_trial) co_return false;
   one.is_quarantined = true;
-  one.next_try = parts_.quarantine.time_to_next_try(request, boot_clock::now());
-  parts_.quarantine.note_refused(request);
+  one.next_try = dependencies_.quarantine.time_to_next_try(request, boot_clock::now());
+  dependencies_.quarantine.note_refused(request);
   co_return true;
 }
 
@@ -89,8 +90,8 @@
 awaitable<exchange_failure> forwarder::attempt(journey& one, exchange& with) {
   // Without time left a server would not be asked; 0 might be read as "no deadline".
   milliseconds const told = std::max(time_left(one.deadline), milliseconds(1));
-  one.message.set(parts_.names.deadline, std::to_string(told.count()));
-  one.message.set(parts_.names.expected_instance, with.server().id);
+  one.message.set(dependencies_.names.deadline, std::to_string(told.count()));
+  one.message.set(dependencies_.names.expected_instance, with.server().id);
   bool const repeatable = one.by->is_repeatable();
   auto choice = repeatable ? connection_choice::kept : connection_choice::just_used;
   if (one.is_trial || one.has_met_silence) choice = connection_choice::fresh;
@@ -132,7 +133,7 @@
   if (failure == exchange_failure::aborted) {
     note_abandoned(one, with);
   } else {
-    parts_.selector.note_failure(with.server().id, boot_clock::now());
+    dependencies_.selector.note_failure(with.server().id, boot_clock::now());
   }
   if (failure == exchange_failure::timed_out) note_given_up(one, with);
   one.has_met_silence = one.has_met_silence || with.has_met_silence();
@@ -140,10 +141,10 @@
       failure == exchange_failure::broken || failure == exchange_failure::stale_connection;
   if (ended) {
     ++one.broken_attempts;
-    parts_.quarantine.note_broken(with.server(), identify(one), one.attempt_begun);
+    dependencies_.quarantine.note_broken(with.server(), identify(one), one.attempt_begun);
   }
   log_line(log_level::info, k_part, "Attempt failed.",
-           {{"request", http::header(one.message, parts_.names.request_id)},
+           {{"request", http::header(one.message, dependencies_.names.request_id)},
             {"server", with.server().id},
             {"failure", to_string(failure)},
             {"attempt", one.attempts},
@@ -151,25 +152,26 @@
             {"resent", with.is_resent() ? "yes" : "no"},
             {"connection", with.rested() ? "kept" : "new"},
             {"rested_ms", with.rested().value_or(milliseconds(0)).count()},
-            {"others_under_way", parts_.selector.outstanding(with.server().id)},
+            {"others_under_way", dependencies_.selector.outstanding(with.server().id)},
             {"fingerprint", identify(one).to_string()},
             {"config", one.table->all().version}});
 }
 
 void forwarder::note_abandoned(journey& one, exchange const& with) {
-  parts_.selector.note_abandoned(with.server().id);
+  dependencies_.selector.note_abandoned(with.server().id);
   note_given_up(one, with);
 }
 
 void forwarder::note_given_up(journey& one, exchange const& with) {
   if (!with.may_have_reached_server()) return;
-  parts_.quarantine.note_given_up(with.server(), identify(one), one.attempt_begun);
+  dependencies_.quarantine.note_given_up(with.server(), identify(one), one.attempt_begun);
 }
 
 void forwarder::clear_suspicion(journey& one, exchange const& with) {
   // A server's own 5xx may come without a run, as at the end of its deadline in a queue.
   bool const ran = with.head().result_int() < 500;
-  if (ran && parts_.quarantine.is_watching()) parts_.quarantine.note_answer(identify(one));
+  if (ran && dependencies_.quarantine.is_watching())
+    dependencies_.quarantine.note_answer(identify(one));
 }
 
 void forwarder::note_whole_answer(journey& one, exchange const& with) {
@@ -177,14 +179,14 @@
   time_point const now = boot_clock::now();
   bool const in_time = now - one.attempt_begun <= one.by->target_latency / k_swift_part;
   if (in_time && with.head().result_int() < 500) {
-    parts_.selector.note_swift_answer(with.server().id, now);
+    dependencies_.selector.note_swift_answer(with.server().id, now);
   } else {
-    parts_.selector.note_answer(with.server().id);
+    dependencies_.selector.note_answer(with.server().id);
   }
 }
 
 bool forwarder::is_refusal(http::response const& head) const {
-  return !http::header(head, parts_.names.not_run).empty() ||
+  return !http::header(head, dependencies_.names.not_run).empty() ||
          head.result() == http::status::misdirected_request;
 }
 
@@ -194,14 +196,14 @@
   one.counted = one.counted || may_have_begun;
   // A request for events begins to run with the first of them, any other when it arrives.
   time_point const begun = is_event_stream ? boot_clock::now() : one.attempt_begun;
-  parts_.runs.end_attempt(attempt, one.tenant, counts, begun);
+  dependencies_.runs.end_attempt(attempt, one.tenant, counts, begun);
 }
 
 bool forwarder::accepts(journey& one, exchange& with) {
   http::response const& head = with.head();
   if (is_refusal(head)) {
     one.was_refused = true;
-    parts_.selector.note_full(with.server().id, boot_clock::now());
+    dependencies_.selector.note_full(with.server().id, boot_clock::now());
     return false;
   }
   bool const failed = head.result_int() >= 500;
@@ -209,7 +211,7 @@
   bool const again = failed && one.by->is_repeatable() && one.attempts < one.by->max_attempts;
   if (!again) return true;
   one.may_have_run = true;
-  parts_.selector.note_answer(with.server().id);
+  dependencies_.selector.note_answer(with.server().id);
   return false;
 }
 
@@ -219,23 +221,24 @@
     if (boot_clock::now() >= one.deadline) break;
     co_await record_suspicion(one);
     if (co_await is_held_back(one)) break;
-    auto const& ready = parts_.servers.ready_servers(one.service);
-    directory::server const* chosen = parts_.selector.pick(ready, one.tried, boot_clock::now());
+    auto const& ready = dependencies_.servers.ready_servers(one.service);
+    directory::server const* chosen =
+        dependencies_.selector.pick(ready, one.tried, boot_clock::now());
     bool const all_failed = chosen == nullptr && one.may_have_run && one.by->is_repeatable();
     // Once more each: a server that takes no connection then is not waited for, its caller knows
     // better what to do with the time that is left.
-    if (all_failed) chosen = parts_.selector.pick(ready, one.unreachable, boot_clock::now());
+    if (all_failed) chosen = dependencies_.selector.pick(ready, one.unreachable, boot_clock::now());
     if (chosen == nullptr) break;
     std::string const chosen_id = chosen->id;
     one.tried.insert(chosen_id);
     one.server = chosen_id;
     if (++one.attempts > 1) ++figures_.retries;
-    parts_.selector.note_sent(chosen->id);
+    dependencies_.selector.note_sent(chosen->id);
     one.attempt_begun = boot_clock::now();
-    auto with = std::make_unique<exchange>(parts_.connections, parts_.names, *chosen);
+    auto with = std::make_unique<exchange>(dependencies_.connections, dependencies_.names, *chosen);
     if (one.from != nullptr) one.from->on_gone([open = with.get()] { open->abort(); });
-    if (is_suspect(one)) with->hold(parts_.selector.isolate(chosen->id));
-    auto const counting = parts_.runs.begin_attempt(one.attempt_begun);
+    if (is_suspect(one)) with->hold(dependencies_.selector.isolate(chosen->id));
+    auto const counting = dependencies_.runs.begin_attempt(one.attempt_begun);
     exchange_failure const failure = co_await attempt(one, *with);
     bool const answered = failure == exchange_failure::none;
     bool const taken = answered && accepts(one, *with);
@@ -315,7 +318,7 @@
                                   http::request message, std::string tenant, time_point deadline,
                                   caller& from) {
   ++figures_.requests;
-  if (!table || !parts_.servers.is_loaded()) {
+  if (!table || !dependencies_.servers.is_loaded()) {
     ++figures_.given_up;
     co_await from.answer(give_up_answer(give_up_reason::no_configuration));
     co_return;
@@ -324,17 +327,17 @@
     std::string const path(message.target());
     ++figures_.given_up;
     log_line(log_level::info, k_part, "No route.",
-             {{"request", http::header(message, parts_.names.request_id)},
+             {{"request", http::header(message, dependencies_.names.request_id)},
               {"path", path},
               {"config", table->all().version},
               {"in_force_ms", milliseconds_since(table->in_force_since())},
-              {"records_age_ms", parts_.records_age().count()}});
+              {"records_age_ms", dependencies_.records_age().count()}});
     co_await from.answer(give_up_answer(give_up_reason::no_route));
     co_return;
   }
   time_point const latest = std::min(deadline, boot_clock::now() + by->timeout);
   journey one = begin(table, *by, std::move(message), latest - k_answer_margin, &from);
-  set_tenant(one.message, parts_.names, table->tenants(), tenant);
+  set_tenant(one.message, dependencies_.names, table->tenants(), tenant);
   one.tenant = std::move(tenant);
   if (by->kind == route_kind::streaming) {
     co_await run_stream(one);
@@ -364,7 +367,7 @@
 void forwarder::log_outcome(journey& one, unsigned status, std::string_view sentence) {
   bool const given_up = one.reason != give_up_reason::none;
   log_line(log_level::info, k_part, sentence,
-           {{"request", http::header(one.message, parts_.names.request_id)},
+           {{"request", http::header(one.message, dependencies_.names.request_id)},
             {"route", one.by->name},
             {"tenant", one.tenant},
             {"status", status},
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -42,7 +42,7 @@
 };
 
 /// References outlive the forwarder.
-struct forwarder_parts {
+struct forwarder_dependencies {
   asio::io_context& context;
   directory::server_directory const& servers;
   connection_pool& connections;
@@ -57,7 +57,8 @@
 
 class forwarder {
  public:
-  explicit forwarder(forwarder_parts parts) : parts_(std::move(parts)) {}
+  explicit forwarder(forwarder_dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
   /// Answers a client's request whose access was granted.
   /// @param table in force; null if there is none yet.
@@ -151,7 +152,7 @@
   awaitable<void> answer_give_up(journey& one);
   void log_outcome(journey& one, unsigned status, std::string_view sentence);
 
-  forwarder_parts parts_;
+  forwarder_dependencies dependencies_;
   share_picker shares_;
   call_figures figures_;
 };
--- a/src/calls/forwarder_streams.cc
+++ b/src/calls/forwarder_streams.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 awaitable<void> forwarder::run_stream(journey& one) {
-  event_splitter splitter(parts_.names.versions);
+  event_splitter splitter(dependencies_.names.versions);
   bool begun = false;
   while (auto with = co_await next_exchange(one)) {
     if (!begun && !has_events(with->head())) {
@@ -25,7 +25,7 @@
       co_return;
     }
     if (begun && !has_events(with->head())) {
-      parts_.selector.note_answer(with->server().id);
+      dependencies_.selector.note_answer(with->server().id);
       break;
     }
     bool const over = co_await pump(one, *with, splitter, begun);
@@ -62,7 +62,7 @@
     }
     std::string whole_events;
     for (stream_event const& event : splitter.feed(piece)) {
-      if (event.id) one.message.set(parts_.names.last_event_id, std::to_string(*event.id));
+      if (event.id) one.message.set(dependencies_.names.last_event_id, std::to_string(*event.id));
       whole_events += event.raw;
     }
     if (whole_events.empty()) continue;
@@ -73,7 +73,7 @@
   }
   if (!splitter.is_between_events()) co_return !one.by->resumable;
   clear_suspicion(one, with);
-  parts_.selector.note_answer(with.server().id);
+  dependencies_.selector.note_answer(with.server().id);
   with.finish();
   ++figures_.answered;
   log_outcome(one, 200, "Streamed.");
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -80,7 +80,7 @@
   calls::connection_pool connections_{context_};
   calls::server_selector selector_{settings_.zone, hash_bytes(settings_.id)};
   usage::run_counter runs_;
-  quarantine::service quarantine_{quarantine::service_parts{
+  quarantine::service quarantine_{quarantine::service_dependencies{
       context_, adapter_.store(), transport_, settings_.id, settings_.peers,
       [this] { return feed_.relay_addresses(k_collectors); },
       [this] { return feed_.age(boot_clock::now()) < k_current_age; },
@@ -92,11 +92,11 @@
             connections_.keep(one.id, std::move(stream));
           },
           &servers_}}};
-  calls::forwarder forwarder_{calls::forwarder_parts{context_, servers_, connections_, selector_,
-                                                     adapter_.names(), runs_, quarantine_,
-                                                     [this] { return records_age(); }}};
-  pools pools_{pools_parts{context_, settings_, adapter_, transport_, configuration_, servers_,
-                           connections_, forwarder_, quarantine_}};
+  calls::forwarder forwarder_{
+      calls::forwarder_dependencies{context_, servers_, connections_, selector_, adapter_.names(),
+                                    runs_, quarantine_, [this] { return records_age(); }}};
+  pools pools_{pools_dependencies{context_, settings_, adapter_, transport_, configuration_,
+                                  servers_, connections_, forwarder_, quarantine_}};
   /// None if the platform takes no calls of one node at a time.
   std::optional<duties> duties_;
   server_watch server_watch_{context_, adapter_, servers_, settings_.leave_time,
@@ -110,8 +110,9 @@
                                                   settings_.zone, settings_.processor_share}};
   rpc::dispatcher peer_methods_;
   metrics metrics_;
-  client_calls client_calls_{client_calls_parts{adapter_, configuration_, forwarder_, job_client_,
-                                                metrics_, [this] { return records_age(); }}};
+  client_calls client_calls_{client_calls_dependencies{adapter_, configuration_, forwarder_,
+                                                       job_client_, metrics_,
+                                                       [this] { return records_age(); }}};
   std::unique_ptr<http::server> peers_;
   std::unique_ptr<http::server> readiness_;
   std::unique_ptr<calls::ingress> ingress_;
@@ -137,7 +138,7 @@
   usage::duty_service* const service = adapter_.duty_service();
   if (service != nullptr && settings_.usage_window > milliseconds(0)) {
     duties_.emplace(
-        duties_parts{context_, settings_, adapter_.store(), transport_, *service, runs_});
+        duties_dependencies{context_, settings_, adapter_.store(), transport_, *service, runs_});
     duties_->add_methods(peer_methods_);
   }
   pools_.add_methods(peer_methods_);
--- a/src/gateway/client_calls.cc
+++ b/src/gateway/client_calls.cc
@@ -35,9 +35,9 @@
 
 awaitable<void> client_calls::handle(http::request message, calls::caller& from) {
   time_point const begin = boot_clock::now();
-  calls::header_names const& names = parts_.adapter.names();
-  auto about_job = parts_.adapter.parse_job_request(message);
-  auto const table = parts_.configuration.table();
+  calls::header_names const& names = dependencies_.adapter.names();
+  auto about_job = dependencies_.adapter.parse_job_request(message);
+  auto const table = dependencies_.configuration.table();
   if (about_job) {
     if (co_await admit_job_call(table.get(), message, *about_job, from)) {
       co_await handle_job(std::move(*about_job), from);
@@ -61,9 +61,9 @@
   time_point deadline = begin + k_default_deadline;
   std::string const told(http::header(message, names.deadline));
   if (!told.empty()) deadline = begin + milliseconds(std::strtoll(told.c_str(), nullptr, 10));
-  co_await parts_.forwarder.handle(table, by, std::move(message), tenant, deadline, from);
+  co_await dependencies_.forwarder.handle(table, by, std::move(message), tenant, deadline, from);
   auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
-  parts_.figures.note_call(spent);
+  dependencies_.figures.note_call(spent);
 }
 
 awaitable<bool> client_calls::admit_job_call(calls::route_table const* table,
@@ -74,7 +74,7 @@
     rpc::JobReplyT reply;
     reply.status = rpc::JobStatus::UNAVAILABLE;
     reply.retry_after_ms = static_cast<std::uint64_t>(k_unconfigured_retry.count());
-    co_await from.answer(parts_.adapter.write_job_reply(request.call, reply));
+    co_await from.answer(dependencies_.adapter.write_job_reply(request.call, reply));
     co_return false;
   }
   bool const is_public = table->has_public_job_route(http::header(message, "Host"));
@@ -88,13 +88,13 @@
 awaitable<void> client_calls::refuse_access(calls::credentials verdict,
                                             calls::route_table const& table,
                                             std::string_view request, calls::caller& from) {
-  parts_.figures.note_access_refused();
+  dependencies_.figures.note_access_refused();
   log_line(log_level::info, k_part, "Access refused.",
            {{"request", request},
             {"tenant", "unknown"},
             {"reason", calls::to_string(verdict)},
             {"config", table.all().version},
-            {"records_age_ms", parts_.records_age().count()}});
+            {"records_age_ms", dependencies_.records_age().count()}});
   co_await from.answer(calls::access_denied_answer(verdict));
 }
 
@@ -104,7 +104,7 @@
       ends ? k_end_deadline : milliseconds(request.call.wait_ms) + k_list_margin;
   if (request.deadline) patience = std::min(patience, time_to_answer(*request.deadline));
   time_point const deadline = boot_clock::now() + patience;
-  rpc::JobReplyT const reply = co_await parts_.jobs.ask(request.call, deadline);
+  rpc::JobReplyT const reply = co_await dependencies_.jobs.ask(request.call, deadline);
   if (reply.status != rpc::JobStatus::OK) {
     log_line(log_level::info, k_part, "Job call not answered.",
              {{"job", request.call.job},
@@ -112,7 +112,7 @@
               {"status", rpc::EnumNameJobStatus(reply.status)},
               {"detail", reply.detail}});
   }
-  co_await from.answer(parts_.adapter.write_job_reply(request.call, reply));
+  co_await from.answer(dependencies_.adapter.write_job_reply(request.call, reply));
 }
 
 awaitable<void> client_calls::handle_submission(http::request message, calls::route const& by,
@@ -121,17 +121,17 @@
   std::string const pool = by.shares.front().service;
   milliseconds const longest = by.timeout > milliseconds(0) ? by.timeout : k_default_deadline;
   rpc::JobReplyT reply;
-  auto request = parts_.adapter.parse_submission(message);
+  auto request = dependencies_.adapter.parse_submission(message);
   if (!request) {
     reply.status = rpc::JobStatus::INVALID;
     reply.detail = "the body is not a job";
     log_line(log_level::info, k_part, "Submission answered.",
-             {{"job", http::header(message, parts_.adapter.names().request_id)},
+             {{"job", http::header(message, dependencies_.adapter.names().request_id)},
               {"pool", pool},
               {"status", rpc::EnumNameJobStatus(reply.status)},
               {"detail", reply.detail},
               {"after_ms", milliseconds_since(begin)}});
-    co_await from.answer(parts_.adapter.write_job_reply(rpc::JobCallT(), reply));
+    co_await from.answer(dependencies_.adapter.write_job_reply(rpc::JobCallT(), reply));
     co_return;
   }
   request->call.tenant = tenant;
@@ -143,16 +143,16 @@
   asked.job = request->call.job;
   milliseconds const patience = std::min(longest, request->deadline.value_or(longest));
   time_point const deadline = begin + time_to_answer(patience);
-  reply = co_await parts_.jobs.submit(pool, std::move(request->call), deadline);
+  reply = co_await dependencies_.jobs.submit(pool, std::move(request->call), deadline);
   auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
-  parts_.figures.note_submission(spent);
+  dependencies_.figures.note_submission(spent);
   log_line(log_level::info, k_part, "Submission answered.",
            {{"job", asked.job},
             {"pool", pool},
             {"status", rpc::EnumNameJobStatus(reply.status)},
             {"detail", reply.detail},
             {"after_ms", spent.count()}});
-  co_await from.answer(parts_.adapter.write_job_reply(asked, reply));
+  co_await from.answer(dependencies_.adapter.write_job_reply(asked, reply));
 }
 
 }  // namespace frostline::gateway
--- a/src/gateway/client_calls.h
+++ b/src/gateway/client_calls.h
@@ -17,7 +17,7 @@
 namespace frostline::gateway {
 
 /// References outlive the calls.
-struct client_calls_parts {
+struct client_calls_dependencies {
   platform_adapter& adapter;
   calls::active_configuration const& configuration;
   calls::forwarder& forwarder;
@@ -29,7 +29,8 @@
 
 class client_calls {
  public:
-  explicit client_calls(client_calls_parts parts) : parts_(std::move(parts)) {}
+  explicit client_calls(client_calls_dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
   /// Answers one request.
   awaitable<void> handle(http::request message, calls::caller& from);
@@ -44,7 +45,7 @@
   awaitable<void> refuse_access(calls::credentials verdict, calls::route_table const& table,
                                 std::string_view request, calls::caller& from);
 
-  client_calls_parts parts_;
+  client_calls_dependencies dependencies_;
 };
 
 }  // namespace frostline::gateway
--- a/src/gateway/duties.cc
+++ b/src/gateway/duties.cc
@@ -34,12 +34,14 @@
 
 }  // namespace
 
-duties::duties(duties_parts parts)
-    : lease_(parts.context, parts.store, resource(), lease_options(parts.all_settings)),
-      reporter_(usage::reporter_parts{parts.context, parts.store, parts.transport, lease_,
-                                      parts.service, parts.counter, parts.all_settings.id,
-                                      ledger_options(parts.all_settings)}) {
-  lease_.set_order_gap(parts.all_settings.order_gap);
+duties::duties(duties_dependencies dependencies)
+    : lease_(dependencies.context, dependencies.store, resource(),
+             lease_options(dependencies.all_settings)),
+      reporter_(usage::reporter_dependencies{dependencies.context, dependencies.store,
+                                             dependencies.transport, lease_, dependencies.service,
+                                             dependencies.counter, dependencies.all_settings.id,
+                                             ledger_options(dependencies.all_settings)}) {
+  lease_.set_order_gap(dependencies.all_settings.order_gap);
 }
 
 void duties::start() {
--- a/src/gateway/duties.h
+++ b/src/gateway/duties.h
@@ -15,7 +15,7 @@
 namespace frostline::gateway {
 
 /// References outlive the duties.
-struct duties_parts {
+struct duties_dependencies {
   asio::io_context& context;
   settings const& all_settings;
   kv::record_store& store;
@@ -26,7 +26,7 @@
 
 class duties {
  public:
-  explicit duties(duties_parts parts);
+  explicit duties(duties_dependencies dependencies);
 
   void start();
   /// The owners' records, whole.
--- a/src/gateway/pools.cc
+++ b/src/gateway/pools.cc
@@ -7,22 +7,23 @@
 jobs::pool& pools::make(std::string const& name) {
   jobs::pool& one = all_[name];
   if (one.lease) return one;
-  settings const& own = parts_.all_settings;
+  settings const& own = dependencies_.all_settings;
   ownership::owner_lease_options options;
   options.node = own.id;
   options.address = own.peers;
   options.handicap = ownership::handicap_of(own.processor_share);
   options.time_to_live = std::max(options.time_to_live, own.store_limits.shortest_lease);
-  one.lease = std::make_unique<ownership::owner_lease>(parts_.context, parts_.adapter.store(), name,
-                                                       std::move(options));
+  one.lease = std::make_unique<ownership::owner_lease>(
+      dependencies_.context, dependencies_.adapter.store(), name, std::move(options));
   one.lease->set_order_gap(own.order_gap);
   auto const orderer = orderers_.find(name);
   if (orderer != orderers_.end()) one.lease->note_orderer(orderer->second);
-  one.owner = std::make_unique<jobs::pool_owner>(
-      jobs::owner_parts{parts_.context, parts_.adapter.store(), own.store_limits,
-                        parts_.configuration, parts_.servers, parts_.connections, parts_.forwarder,
-                        parts_.quarantine, parts_.adapter.names(), parts_.adapter.engines(),
-                        *one.lease, parts_.transport, own.id, own.zone, own.retention});
+  one.owner = std::make_unique<jobs::pool_owner>(jobs::pool_owner_dependencies{
+      dependencies_.context, dependencies_.adapter.store(), own.store_limits,
+      dependencies_.configuration, dependencies_.servers, dependencies_.connections,
+      dependencies_.forwarder, dependencies_.quarantine, dependencies_.adapter.names(),
+      dependencies_.adapter.engines(), *one.lease, dependencies_.transport, own.id, own.zone,
+      own.retention});
   one.owner->start();
   return one;
 }
@@ -80,7 +81,7 @@
 std::optional<endpoint> pools::other_owner() const {
   for (auto const& [name, one] : all_) {
     auto const& owner = one.lease->owner();
-    if (owner && owner->node != parts_.all_settings.id) return owner->address;
+    if (owner && owner->node != dependencies_.all_settings.id) return owner->address;
   }
   return std::nullopt;
 }
--- a/src/gateway/pools.h
+++ b/src/gateway/pools.h
@@ -15,7 +15,7 @@
 namespace frostline::gateway {
 
 /// References outlive the pools.
-struct pools_parts {
+struct pools_dependencies {
   asio::io_context& context;
   settings const& all_settings;
   platform_adapter& adapter;
@@ -29,7 +29,7 @@
 
 class pools {
  public:
-  explicit pools(pools_parts parts) : parts_(parts) {}
+  explicit pools(pools_dependencies dependencies) : dependencies_(dependencies) {}
 
   jobs::pool_map& all() { return all_; }
   jobs::pool_map const& all() const { return all_; }
@@ -60,7 +60,7 @@
  private:
   jobs::pool& make(std::string const& name);
 
-  pools_parts parts_;
+  pools_dependencies dependencies_;
   jobs::pool_map all_;
   /// Records of the pools' last orderers, also of pools that this node does not know yet.
   std::map<std::string, kv::key_value> orderers_;
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -27,10 +27,11 @@
 /// again.
 constexpr milliseconds k_longest_hold{400};
 
-engines::order_authority make_authority(owner_parts const& parts, sample_runner const& runner) {
+engines::order_authority make_authority(pool_owner_dependencies const& dependencies,
+                                        sample_runner const& runner) {
   engines::order_authority authority;
-  authority.holder = parts.node;
-  ownership::owner_lease& lease = parts.lease;
+  authority.holder = dependencies.node;
+  ownership::owner_lease& lease = dependencies.lease;
   authority.may_order = [&lease] { return lease.may_order(boot_clock::now()); };
   authority.fence = [&lease] { return lease.epoch(); };
   authority.mode_for = [&runner](engines::board_engine const& engine) {
@@ -42,26 +43,31 @@
 
 }  // namespace
 
-pool_owner::pool_owner(owner_parts parts)
-    : parts_(std::move(parts)),
-      orders_(parts_.context, board_, parts_.control, make_authority(parts_, runner_)),
-      log_(parts_.context, parts_.store, parts_.limits, parts_.lease.resource()),
-      runner_(runner_parts{parts_.context, parts_.configuration, parts_.servers, parts_.connections,
-                           parts_.forwarder, parts_.names, board_, parts_.quarantine, table_,
-                           [this] { return may_send_again(); }, [this] { notify(); }}),
-      progress_(parts_.context, parts_.transport, parts_.lease.resource(), parts_.zone),
-      work_(parts_.context),
-      loaded_(parts_.context),
-      listed_(parts_.context),
-      written_(parts_.context) {}
+pool_owner::pool_owner(pool_owner_dependencies dependencies)
+    : dependencies_(std::move(dependencies)),
+      orders_(dependencies_.context, board_, dependencies_.control,
+              make_authority(dependencies_, runner_)),
+      log_(dependencies_.context, dependencies_.store, dependencies_.limits,
+           dependencies_.lease.resource()),
+      runner_(runner_dependencies{dependencies_.context, dependencies_.configuration,
+                                  dependencies_.servers, dependencies_.connections,
+                                  dependencies_.forwarder, dependencies_.names, board_,
+                                  dependencies_.quarantine, table_,
+                                  [this] { return may_send_again(); }, [this] { notify(); }}),
+      progress_(dependencies_.context, dependencies_.transport, dependencies_.lease.resource(),
+                dependencies_.zone),
+      work_(dependencies_.context),
+      loaded_(dependencies_.context),
+      listed_(dependencies_.context),
+      written_(dependencies_.context) {}
 
 void pool_owner::start() {
-  parts_.lease.on_change([this] { gained(); }, [this] { lost(); });
+  dependencies_.lease.on_change([this] { gained(); }, [this] { lost(); });
   progress_.on_newer_owner([this](std::uint64_t epoch) {
     newer_epoch_ = std::max(newer_epoch_, epoch);
     notify();
   });
-  spawn(parts_.context, advance_loop());
+  spawn(dependencies_.context, advance_loop());
 }
 
 void pool_owner::notify() {
@@ -78,7 +84,7 @@
 
 void pool_owner::gained() {
   state_ = owner_state::loading;
-  spawn(parts_.context, load(++term_));
+  spawn(dependencies_.context, load(++term_));
 }
 
 void pool_owner::lost() {
@@ -112,13 +118,14 @@
   replica_.clear();
   progress_.begin_term();
   table_.forget_checkpoints();
-  log_.open(ownership::owner_lease::key_of(parts_.lease.resource()), parts_.lease.epoch());
+  log_.open(ownership::owner_lease::key_of(dependencies_.lease.resource()),
+            dependencies_.lease.epoch());
   orders_.begin_term();
   state_ = owner_state::active;
   auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
   log_line(log_level::info, k_part, "Jobs loaded.",
-           {{"pool", parts_.lease.resource()},
-            {"epoch", parts_.lease.epoch()},
+           {{"pool", dependencies_.lease.resource()},
+            {"epoch", dependencies_.lease.epoch()},
             {"jobs", table_.jobs().size()},
             {"ended", ended_unread_.size()},
             {"after_ms", spent.count()}});
@@ -127,8 +134,8 @@
 }
 
 awaitable<bool> pool_owner::load_marks(std::uint64_t term) {
-  std::string const pool = parts_.lease.resource();
-  auto answer = co_await parts_.store.list(record_keys::marks_prefix(pool));
+  std::string const pool = dependencies_.lease.resource();
+  auto answer = co_await dependencies_.store.list(record_keys::marks_prefix(pool));
   if (!answer || term != term_) co_return false;
   stored_marks const marks = read_marks(pool, answer.value().entries);
   for (auto const& [id, end] : marks.ended) {
@@ -147,7 +154,7 @@
   progress->left = ids.size();
   progress->jobs.resize(ids.size());
   for (std::size_t place = 0; place < ids.size(); ++place) {
-    spawn(parts_.context, read_into(ids[place], progress, place));
+    spawn(dependencies_.context, read_into(ids[place], progress, place));
   }
   while (progress->left > 0 && term == term_) {
     co_await loaded_.wait_until(boot_clock::now() + k_tick);
@@ -185,8 +192,8 @@
 }
 
 awaitable<std::optional<stored_job>> pool_owner::read_stored(std::string id) {
-  std::string const pool = parts_.lease.resource();
-  auto answer = co_await parts_.store.list(record_keys::data_prefix(pool, id));
+  std::string const pool = dependencies_.lease.resource();
+  auto answer = co_await dependencies_.store.list(record_keys::data_prefix(pool, id));
   if (!answer) co_return std::nullopt;
   co_return read_job(pool, id, answer.value().entries);
 }
@@ -224,15 +231,15 @@
     if (!work_pending_) co_await work_.wait_until(boot_clock::now() + k_tick);
     work_pending_ = false;
     time_point const now = boot_clock::now();
-    permission_.note_turn(now, parts_.lease.holds(now));
-    bool const seen = state_ == owner_state::suspended && parts_.lease.owner() &&
-                      parts_.lease.owner()->node != parts_.node;
-    bool const told = newer_epoch_ > parts_.lease.epoch() && state_ != owner_state::standby &&
-                      !parts_.lease.holds(now);
+    permission_.note_turn(now, dependencies_.lease.holds(now));
+    bool const seen = state_ == owner_state::suspended && dependencies_.lease.owner() &&
+                      dependencies_.lease.owner()->node != dependencies_.node;
+    bool const told = newer_epoch_ > dependencies_.lease.epoch() &&
+                      state_ != owner_state::standby && !dependencies_.lease.holds(now);
     if (told) lost();
     if (seen || told) drop_everything();
     offer_replica();
-    parts_.lease.set_preferred(state_ == owner_state::standby && replica_.is_fresh(now));
+    dependencies_.lease.set_preferred(state_ == owner_state::standby && replica_.is_fresh(now));
     if (state_ == owner_state::active || state_ == owner_state::suspended) advance();
   }
 }
@@ -246,13 +253,13 @@
   drop_unrecorded(now);
   table_.expire(now);
   clock.mark("jobs", boot_clock::now());
-  bool const may_begin = permission_.may_begin_runs(now, parts_.lease.holds(now));
+  bool const may_begin = permission_.may_begin_runs(now, dependencies_.lease.holds(now));
   if (may_begin) runner_.advance(now);
   clock.mark("runs", boot_clock::now());
-  bool const store_is_silent = now > parts_.lease.confirmed_at() + k_store_silence;
+  bool const store_is_silent = now > dependencies_.lease.confirmed_at() + k_store_silence;
   std::size_t const copies =
       store_is_silent ? progress_sender::k_copies_in_outage : progress_sender::k_copies;
-  progress_.advance(table_, parts_.lease.epoch(), copies, now);
+  progress_.advance(table_, dependencies_.lease.epoch(), copies, now);
   clock.mark("progress", boot_clock::now());
   if (state_ == owner_state::active) keep_records(clock, now);
   note_turn(clock);
@@ -275,8 +282,8 @@
   if (clock.total() < k_long_turn) return;
   auto const longest = clock.longest();
   log_line(log_level::warning, k_part, "A turn of the owner's loop took long.",
-           {{"pool", parts_.lease.resource()},
-            {"epoch", parts_.lease.epoch()},
+           {{"pool", dependencies_.lease.resource()},
+            {"epoch", dependencies_.lease.epoch()},
             {"turn_ms", clock.total().count()},
             {"longest_part", longest.name},
             {"longest_part_ms", std::chrono::duration_cast<milliseconds>(longest.time).count()},
@@ -290,8 +297,8 @@
   checkpoint_at_ = now;
   for (rpc::ProgressReportT& report :
        table_.take_checkpoint(now, k_checkpoint_age, k_checkpoint_bytes)) {
-    report.pool = parts_.lease.resource();
-    report.epoch = parts_.lease.epoch();
+    report.pool = dependencies_.lease.resource();
+    report.epoch = dependencies_.lease.epoch();
     log_.write_checkpoint(report);
   }
 }
@@ -301,7 +308,7 @@
     read_all_servers();
   } else {
     for (std::string const& id : changed_servers_) {
-      directory::server const* const one = parts_.servers.find(id);
+      directory::server const* const one = dependencies_.servers.find(id);
       if (one != nullptr && !one->models.empty()) {
         board_.put(*one);
       } else {
@@ -311,21 +318,21 @@
   }
   changed_servers_.clear();
   board_is_old_ = false;
-  auto const table = parts_.configuration.table();
-  auto const* pool = table ? table->find_service(parts_.lease.resource()) : nullptr;
+  auto const table = dependencies_.configuration.table();
+  auto const* pool = table ? table->find_service(dependencies_.lease.resource()) : nullptr;
   if (pool != nullptr && pool->engines) board_.set_cache_tokens(pool->engines->cache_tokens);
 }
 
 void pool_owner::read_all_servers() {
   std::vector<directory::server const*> engines;
-  for (auto const& [id, one] : parts_.servers.servers()) {
+  for (auto const& [id, one] : dependencies_.servers.servers()) {
     if (!one.models.empty()) engines.push_back(&one);
   }
   board_.update(engines);
 }
 
 void pool_owner::refresh_terms() {
-  auto const table = parts_.configuration.table();
+  auto const table = dependencies_.configuration.table();
   if (!table) return;
   for (auto const& [id, held] : table_.jobs()) {
     if (!held->is_open()) continue;
@@ -357,7 +364,7 @@
                  {{"job", job_id},
                   {"positions", owner->listed.size()},
                   {"items", owner->samples.size()},
-                  {"epoch", parts_.lease.epoch()}});
+                  {"epoch", dependencies_.lease.epoch()}});
         listed_.notify_all();
       } else {
         table_.abandon_batch(*owner);
@@ -369,18 +376,18 @@
 void pool_owner::forget_old(time_point now) {
   std::vector<std::string> old;
   for (auto const& [id, held] : table_.jobs()) {
-    if (held->recorded && !held->is_open() && now - held->accepted_at > parts_.retention)
+    if (held->recorded && !held->is_open() && now - held->accepted_at > dependencies_.retention)
       old.push_back(id);
   }
   for (std::string const& id : old) {
     table_.forget(id);
-    spawn(parts_.context, erase(id));
+    spawn(dependencies_.context, erase(id));
   }
 }
 
 awaitable<void> pool_owner::erase(std::string id) {
-  std::string const pool = parts_.lease.resource();
-  auto answer = co_await parts_.store.list(record_keys::data_prefix(pool, id));
+  std::string const pool = dependencies_.lease.resource();
+  auto answer = co_await dependencies_.store.list(record_keys::data_prefix(pool, id));
   // What is not erased now is erased by a later owner.
   if (!answer || state_ != owner_state::active) co_return;
   std::vector<std::string> keys;
@@ -396,16 +403,16 @@
   while (state_ == owner_state::active && !log_.is_idle() && boot_clock::now() < deadline) {
     co_await wait_for(milliseconds(5));
   }
-  co_await progress_.finish(table_, parts_.lease.epoch());
+  co_await progress_.finish(table_, dependencies_.lease.epoch());
 }
 
 bool pool_owner::is_certain() const {
-  return state_ == owner_state::active && parts_.lease.holds(boot_clock::now());
+  return state_ == owner_state::active && dependencies_.lease.holds(boot_clock::now());
 }
 
 bool pool_owner::may_send_again() const {
   time_point const now = boot_clock::now();
-  return !permission_.may_be_succeeded(now, parts_.lease.holds(now));
+  return !permission_.may_be_succeeded(now, dependencies_.lease.holds(now));
 }
 
 bool pool_owner::can_read() const {
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -29,7 +29,7 @@
 namespace frostline::jobs {
 
 /// References outlive the owner.
-struct owner_parts {
+struct pool_owner_dependencies {
   asio::io_context& context;
   kv::record_store& store;
   kv::store_limits limits;
@@ -59,7 +59,7 @@
   /// the record store. A seventh of a link of 60 Mbit/s.
   static constexpr std::size_t k_read_bytes_per_second = 1 << 20;
 
-  explicit pool_owner(owner_parts parts);
+  explicit pool_owner(pool_owner_dependencies dependencies);
 
   void start();
   owner_state state() const { return state_; }
@@ -152,7 +152,7 @@
   /// Whether what is under way may be sent to a server once more.
   bool may_send_again() const;
 
-  owner_parts parts_;
+  pool_owner_dependencies dependencies_;
   owner_state state_ = owner_state::standby;
   /// Grows with each gain and loss; what began in an older term is ignored.
   std::uint64_t term_ = 0;
--- a/src/jobs/pool_owner_calls.cc
+++ b/src/jobs/pool_owner_calls.cc
@@ -42,7 +42,7 @@
   rpc::ProgressReplyT reply;
   bool const own = state_ == owner_state::active || state_ == owner_state::suspended;
   // Changes that a former owner still reports go on from what this node does not hold.
-  if (own && report.whole && report.epoch < parts_.lease.epoch()) {
+  if (own && report.whole && report.epoch < dependencies_.lease.epoch()) {
     adopt(report);
     reply.taken = true;
     return reply;
@@ -64,18 +64,20 @@
 }
 
 void pool_owner::offer_replica() {
-  auto const& owner = parts_.lease.owner();
-  bool const followed = owner && owner->node != parts_.node && owner->epoch > replica_.epoch();
+  auto const& owner = dependencies_.lease.owner();
+  bool const followed =
+      owner && owner->node != dependencies_.node && owner->epoch > replica_.epoch();
   if (state_ != owner_state::standby || !followed) return;
   if (replica_.is_fresh(boot_clock::now())) {
-    spawn(parts_.context, send_offer(owner->address, replica_.whole(parts_.lease.resource())));
+    spawn(dependencies_.context,
+          send_offer(owner->address, replica_.whole(dependencies_.lease.resource())));
   }
   replica_.clear();
 }
 
 awaitable<void> pool_owner::send_offer(endpoint where, rpc::ProgressReportT report) {
   auto const reply = co_await rpc::call<rpc::ProgressReportT, rpc::ProgressReplyT>(
-      parts_.transport, where, "JobService", "Replicate", report, k_offer_timeout);
+      dependencies_.transport, where, "JobService", "Replicate", report, k_offer_timeout);
   log_line(log_level::info, k_part, "Progress offered to the new owner.",
            {{"pool", report.pool},
             {"owner", where.to_string()},
@@ -121,7 +123,7 @@
             {"items", record->items.size()},
             {"desired", record->desired},
             {"ran_ahead_ms", ran_ahead.count()},
-            {"epoch", parts_.lease.epoch()}});
+            {"epoch", dependencies_.lease.epoch()}});
   table_.add(std::move(*record), now);
   table_.note_recorded(id);
   notify();
@@ -133,7 +135,7 @@
   // A job that was run ahead in an earlier term is in the table already.
   if (term != term_ || !submitting_.contains(id) || table_.find(id) != nullptr) co_return;
   log_line(log_level::info, k_part, "Job runs while its record is written.",
-           {{"job", id}, {"items", record->items.size()}, {"epoch", parts_.lease.epoch()}});
+           {{"job", id}, {"items", record->items.size()}, {"epoch", dependencies_.lease.epoch()}});
   note_job(*record);
   table_.add_unrecorded(rpc::JobRecordT(*record), boot_clock::now());
   notify();
@@ -160,7 +162,7 @@
     }
     written_.notify_all();
   });
-  if (submitting_.contains(id)) spawn(parts_.context, run_ahead(term, record));
+  if (submitting_.contains(id)) spawn(dependencies_.context, run_ahead(term, record));
 }
 
 job* pool_owner::find_recorded(std::string const& id) {
@@ -321,7 +323,7 @@
   if (!pending && stored) {
     writing_.erase(call.job);
     log_line(log_level::info, k_part, "Job ended.",
-             {{"job", call.job}, {"epoch", parts_.lease.epoch()}});
+             {{"job", call.job}, {"epoch", dependencies_.lease.epoch()}});
     notify();
     co_return reply_with(rpc::JobStatus::OK, {});
   }
--- a/src/jobs/pool_owner_ended.cc
+++ b/src/jobs/pool_owner_ended.cc
@@ -52,7 +52,7 @@
   if (!wanted) ended_wanted_.push_back(id);
   if (reading_ended_) return;
   reading_ended_ = true;
-  spawn(parts_.context, read_ended_loop(term_));
+  spawn(dependencies_.context, read_ended_loop(term_));
 }
 
 awaitable<void> pool_owner::read_ended_loop(std::uint64_t term) {
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -68,28 +68,28 @@
 }
 
 bool sample_runner::must_be_isolated(job& owner, std::uint32_t index, time_point now) const {
-  if (!parts_.quarantine.is_watching()) return false;
+  if (!dependencies_.quarantine.is_watching()) return false;
   quarantine::fingerprint const& request = identify(owner, index);
-  return parts_.quarantine.crashes_seen(request) >= k_isolated_crashes ||
-         parts_.quarantine.check(request, now) != quarantine::verdict::allowed;
+  return dependencies_.quarantine.crashes_seen(request) >= k_isolated_crashes ||
+         dependencies_.quarantine.check(request, now) != quarantine::verdict::allowed;
 }
 
 bool sample_runner::may_start(job& owner, std::uint32_t index, time_point now) {
-  if (!parts_.quarantine.is_watching()) return true;
+  if (!dependencies_.quarantine.is_watching()) return true;
   sample& one = owner.samples[index];
   quarantine::fingerprint const& request = identify(owner, index);
   if (trials_.erase(request) > 0) return true;
-  if (parts_.quarantine.should_wait(request, now)) {
+  if (dependencies_.quarantine.should_wait(request, now)) {
     one.not_before = now + k_suspect_pause;
     return false;
   }
-  quarantine::verdict const verdict = parts_.quarantine.check(request, now);
+  quarantine::verdict const verdict = dependencies_.quarantine.check(request, now);
   if (verdict == quarantine::verdict::allowed) return true;
   one.not_before = now + k_held_back_pause;
   if (verdict == quarantine::verdict::trial) {
-    spawn(parts_.context, ask_for_trial(request));
+    spawn(dependencies_.context, ask_for_trial(request));
   } else if (!one.held_back) {
-    parts_.quarantine.note_refused(request);
+    dependencies_.quarantine.note_refused(request);
     log_line(log_level::warning, k_part, "Sample is held back: engines end under it.",
              {{"request", one.spec->id},
               {"job", owner.record.id},
@@ -101,20 +101,20 @@
 
 awaitable<void> sample_runner::ask_for_trial(quarantine::fingerprint request) {
   // Not within the condition: GCC 12 then loses this coroutine's own parameters.
-  bool const granted = co_await parts_.quarantine.claim_trial(request);
+  bool const granted = co_await dependencies_.quarantine.claim_trial(request);
   if (!granted) co_return;
   trials_.insert(request);
-  parts_.notify();
+  dependencies_.notify();
 }
 
 void sample_runner::advance(time_point now) {
-  auto const table = parts_.configuration.table();
+  auto const table = dependencies_.configuration.table();
   if (!table) return;
   std::size_t started = 0;
-  for (run_candidate const& next : parts_.table.runnable(now)) {
+  for (run_candidate const& next : dependencies_.table.runnable(now)) {
     if (started == k_most_starts) {
       // The rest follows when the loop has turned.
-      parts_.notify();
+      dependencies_.notify();
       break;
     }
     job& owner = *next.owner;
@@ -128,7 +128,7 @@
     bool const isolated = must_be_isolated(owner, next.index, now);
     engines::run_need need = need_of(owner, one);
     if (isolated) need.excluded = isolating_engines_;
-    engines::board_engine const* engine = parts_.board.choose(need, now);
+    engines::board_engine const* engine = dependencies_.board.choose(need, now);
     if (engine == nullptr || !may_start(owner, next.index, now)) continue;
     start(owner, next.index, *engine, isolated);
     ++started;
@@ -139,9 +139,9 @@
 void sample_runner::start(job& owner, std::uint32_t index, engines::board_engine const& engine,
                           bool isolated) {
   sample& one = owner.samples[index];
-  run_key const key = parts_.table.start(owner, index, engine.server.id, boot_clock::now());
+  run_key const key = dependencies_.table.start(owner, index, engine.server.id, boot_clock::now());
   std::uint64_t const tokens = expected_tokens(*one.spec);
-  parts_.board.note_started(engine.server.id, tokens, one.spec->group);
+  dependencies_.board.note_started(engine.server.id, tokens, one.spec->group);
   ++figures_.runs;
   if (isolated) isolating_engines_.insert(engine.server.id);
   log_line(log_level::info, k_part, "Run started.",
@@ -152,7 +152,7 @@
             {"events", one.events},
             {"in_flight", engine.in_flight},
             {"isolated", isolated ? "yes" : "no"}});
-  spawn(parts_.context, run(key, engine.server, tokens, one.spec->group, isolated));
+  spawn(dependencies_.context, run(key, engine.server, tokens, one.spec->group, isolated));
 }
 
 void sample_runner::move_slow_runs(time_point now) {
@@ -160,12 +160,12 @@
   milliseconds best_gain{0};
   for (auto& [id, open] : runs_) {
     if (open.moving) continue;
-    sample const* one = parts_.table.running(keys_[id]);
-    engines::board_engine const* from = parts_.board.find(open.engine);
+    sample const* one = dependencies_.table.running(keys_[id]);
+    engines::board_engine const* from = dependencies_.board.find(open.engine);
     if (one == nullptr || from == nullptr || one->events == 0) continue;
-    job const* owner = parts_.table.find(keys_[id].job);
+    job const* owner = dependencies_.table.find(keys_[id].job);
     milliseconds const gain =
-        parts_.board.gain_of_move(*from, need_of(*owner, *one), one->events, now);
+        dependencies_.board.gain_of_move(*from, need_of(*owner, *one), one->events, now);
     if (gain <= best_gain) continue;
     best = &open;
     best_gain = gain;
@@ -194,14 +194,14 @@
   bool const given_up = !broken && is_given_up(end);
   if (!broken && !given_up) return;
   open_run const& open = runs_.at(id);
-  job* const owner = parts_.table.find(key.job);
+  job* const owner = dependencies_.table.find(key.job);
   std::optional<quarantine::fingerprint> request = open.request;
   if (!request && owner != nullptr) request = identify(*owner, key.index);
   if (!request) return;
   if (broken) {
-    parts_.quarantine.note_broken(engine, *request, open.sent_at);
+    dependencies_.quarantine.note_broken(engine, *request, open.sent_at);
   } else {
-    parts_.quarantine.note_given_up(engine, *request, open.sent_at);
+    dependencies_.quarantine.note_given_up(engine, *request, open.sent_at);
   }
 }
 
@@ -225,14 +225,14 @@
 void sample_runner::abort(run_id id, open_run& open) {
   run_key const& key = keys_[id];
   // The job may be gone when the run has ended.
-  job* const owner = parts_.table.find(key.job);
+  job* const owner = dependencies_.table.find(key.job);
   if (owner != nullptr) open.request = identify(*owner, key.index);
   open.exchange->abort();
 }
 
 milliseconds sample_runner::pause_after_break(job& owner, std::uint32_t index) const {
-  if (!parts_.quarantine.is_watching()) return k_broken_pause;
-  bool const suspect = parts_.quarantine.crashes_seen(identify(owner, index)) > 0;
+  if (!dependencies_.quarantine.is_watching()) return k_broken_pause;
+  bool const suspect = dependencies_.quarantine.crashes_seen(identify(owner, index)) > 0;
   return suspect ? k_suspect_pause : k_broken_pause;
 }
 
@@ -241,15 +241,16 @@
   message.set(http::field::host, owner.record.host);
   for (auto const& header : one.spec->headers) message.set(header->name, header->value);
   // What an item says of its tenant or key proves nothing.
-  message.erase(parts_.names.tenant);
+  message.erase(dependencies_.names.tenant);
   if (!owner.record.tenant.empty()) {
     message.erase(http::field::authorization);
-    message.set(parts_.names.tenant, owner.record.tenant);
+    message.set(dependencies_.names.tenant, owner.record.tenant);
   }
-  message.set(parts_.names.request_id, one.spec->id);
-  message.set(parts_.names.deadline, std::to_string(k_longest_run.count()));
-  message.set(parts_.names.expected_instance, one.engine);
-  if (one.last_event) message.set(parts_.names.last_event_id, std::to_string(*one.last_event));
+  message.set(dependencies_.names.request_id, one.spec->id);
+  message.set(dependencies_.names.deadline, std::to_string(k_longest_run.count()));
+  message.set(dependencies_.names.expected_instance, one.engine);
+  if (one.last_event)
+    message.set(dependencies_.names.last_event_id, std::to_string(*one.last_event));
   message.body().assign(one.spec->body.begin(), one.spec->body.end());
   message.prepare_payload();
   return message;
@@ -258,8 +259,8 @@
 awaitable<void> sample_runner::run(run_key key, directory::server engine, std::uint64_t tokens,
                                    std::string group, bool isolated) {
   run_id const id = next_run_++;
-  calls::exchange with(parts_.connections, parts_.names, engine);
-  job const* const owner = parts_.table.find(key.job);
+  calls::exchange with(dependencies_.connections, dependencies_.names, engine);
+  job const* const owner = dependencies_.table.find(key.job);
   open_run open;
   open.exchange = &with;
   open.engine = engine.id;
@@ -274,26 +275,26 @@
   runs_.erase(id);
   keys_.erase(id);
   if (isolated) isolating_engines_.erase(engine.id);
-  parts_.board.note_ended(engine.id, tokens, group);
+  dependencies_.board.note_ended(engine.id, tokens, group);
   conclude(key, engine.id, end);
-  parts_.notify();
+  dependencies_.notify();
 }
 
 awaitable<sample_runner::run_end> sample_runner::drive(run_key const& key, calls::exchange& with) {
-  sample const* one = parts_.table.running(key);
+  sample const* one = dependencies_.table.running(key);
   if (one == nullptr) co_return run_end::unwanted;
-  http::request const message = make_request(*parts_.table.find(key.job), *one);
+  http::request const message = make_request(*dependencies_.table.find(key.job), *one);
   auto choice = calls::connection_choice::kept;
   auto failure = co_await with.send(message, choice, boot_clock::now() + k_send_timeout);
   time_point const first = boot_clock::now() + k_first_event_timeout;
   if (failure == calls::exchange_failure::none) failure = co_await with.read_head(first);
   bool const is_stale = failure == calls::exchange_failure::stale_connection;
-  if (is_stale && parts_.may_send_again()) {
+  if (is_stale && dependencies_.may_send_again()) {
     choice = calls::connection_choice::fresh;
     failure = co_await with.send(message, choice, boot_clock::now() + k_send_timeout);
     if (failure == calls::exchange_failure::none) failure = co_await with.read_head(first);
   }
-  if (parts_.table.running(key) == nullptr) co_return run_end::unwanted;
+  if (dependencies_.table.running(key) == nullptr) co_return run_end::unwanted;
   if (failure != calls::exchange_failure::none) co_return run_end::broken;
   run_end const head = take_head(with);
   if (head != run_end::completed) co_return head;
@@ -305,22 +306,22 @@
   unsigned const status = head.result_int();
   if (status == 200) return run_end::completed;
   if (status == 422) return run_end::impossible;
-  bool const refused = !http::header(head, parts_.names.not_run).empty() || status == 421;
+  bool const refused = !http::header(head, dependencies_.names.not_run).empty() || status == 421;
   if (refused) return run_end::refused;
   return status == 500 ? run_end::failed : run_end::broken;
 }
 
 awaitable<sample_runner::run_end> sample_runner::read_events(run_key const& key,
                                                              calls::exchange& with) {
-  calls::event_splitter splitter(parts_.names.versions);
-  std::string version_field = parts_.names.versions;
+  calls::event_splitter splitter(dependencies_.names.versions);
+  std::string version_field = dependencies_.names.versions;
   std::uint64_t version = parse_whole(http::header(with.head(), version_field));
   std::string const engine = with.server().id;
   time_point last = boot_clock::now();
   bool first = true;
   std::string piece;
   while (!with.is_whole() || !with.head().body().empty()) {
-    engines::board_engine const* board = parts_.board.find(engine);
+    engines::board_engine const* board = dependencies_.board.find(engine);
     double const usual = board == nullptr ? 0 : board->event_gap_ms;
     bool const loading = board != nullptr && board->load == engines::load_state::ordered;
     milliseconds silence = std::max(
@@ -328,22 +329,22 @@
     if (first) silence = k_first_event_timeout;
     if (loading) silence = std::max(silence, k_load_silence);
     auto const failure = co_await with.read_piece(piece, boot_clock::now() + silence);
-    if (parts_.table.running(key) == nullptr) co_return run_end::unwanted;
+    if (dependencies_.table.running(key) == nullptr) co_return run_end::unwanted;
     if (failure != calls::exchange_failure::none) co_return run_end::broken;
     auto const events = splitter.feed(piece);
     if (events.empty()) continue;
     time_point const now = boot_clock::now();
     if (!first && !loading) {
       auto const gap = std::chrono::duration_cast<milliseconds>(now - last);
-      parts_.board.note_event_gap(engine, gap / static_cast<int>(events.size()), now);
+      dependencies_.board.note_event_gap(engine, gap / static_cast<int>(events.size()), now);
     }
     first = false;
     last = now;
     run_end const taken = take_events(key, events, version);
     if (taken != run_end::completed) co_return taken;
-    parts_.board.note_success(engine);
+    dependencies_.board.note_success(engine);
   }
-  sample const* one = parts_.table.running(key);
+  sample const* one = dependencies_.table.running(key);
   if (one == nullptr) co_return run_end::unwanted;
   bool const whole = splitter.is_between_events() && one->events > 0;
   co_return whole ? run_end::completed : run_end::broken;
@@ -354,10 +355,10 @@
                                                   std::uint64_t& version) {
   for (calls::stream_event const& event : events) {
     if (event.version) version = *event.version;
-    sample* const one = parts_.table.running(key);
-    job const* const owner = parts_.table.find(key.job);
+    sample* const one = dependencies_.table.running(key);
+    job const* const owner = dependencies_.table.find(key.job);
     if (one == nullptr || owner == nullptr) return run_end::unwanted;
-    switch (parts_.table.take_event(*owner, *one, event, version, boot_clock::now())) {
+    switch (dependencies_.table.take_event(*owner, *one, event, version, boot_clock::now())) {
       case event_result::taken:
         break;
       case event_result::too_old:
@@ -374,8 +375,8 @@
 
 void sample_runner::conclude(run_key const& key, std::string const& engine, run_end end) {
   time_point const now = boot_clock::now();
-  job* const owner = parts_.table.find(key.job);
-  sample* const one = parts_.table.running(key);
+  job* const owner = dependencies_.table.find(key.job);
+  sample* const one = dependencies_.table.running(key);
   bool const tells = owner != nullptr && end == run_end::broken;
   log_line(log_level::info, k_part, "Run ended.",
            {{"request", owner == nullptr ? "" : owner->samples[key.index].spec->id},
@@ -387,41 +388,42 @@
             {"events", one == nullptr ? 0 : one->events}});
   if (end == run_end::broken) {
     ++figures_.broken;
-    parts_.board.note_failure(engine, now);
+    dependencies_.board.note_failure(engine, now);
   }
   if (owner == nullptr || one == nullptr) return;
   switch (end) {
     case run_end::completed:
       ++figures_.completed;
-      if (parts_.quarantine.is_watching()) {
-        parts_.quarantine.note_answer(identify(*owner, key.index));
+      if (dependencies_.quarantine.is_watching()) {
+        dependencies_.quarantine.note_answer(identify(*owner, key.index));
       }
-      if (parts_.table.complete_text(*owner, key.index, now)) scorer_.start(key.job, key.index);
+      if (dependencies_.table.complete_text(*owner, key.index, now))
+        scorer_.start(key.job, key.index);
       break;
     case run_end::refused:
-      parts_.board.block(engine, now + k_refused_pause);
-      parts_.table.requeue(*one, now + k_broken_pause);
+      dependencies_.board.block(engine, now + k_refused_pause);
+      dependencies_.table.requeue(*one, now + k_broken_pause);
       break;
     case run_end::moved:
       ++figures_.moved;
-      parts_.table.requeue(*one, now);
+      dependencies_.table.requeue(*one, now);
       break;
     case run_end::broken:
-      parts_.table.requeue(*one, now + pause_after_break(*owner, key.index));
+      dependencies_.table.requeue(*one, now + pause_after_break(*owner, key.index));
       break;
     case run_end::failed:
       conclude_failure(*owner, key, *one);
       break;
     case run_end::impossible:
       ++figures_.dead;
-      parts_.table.give_up(*owner, key.index, now);
+      dependencies_.table.give_up(*owner, key.index, now);
       break;
     case run_end::unusable:
-      parts_.table.restart(*one, now + k_broken_pause);
+      dependencies_.table.restart(*one, now + k_broken_pause);
       break;
     case run_end::old_version: {
-      parts_.board.set_version(engine, owner->record.model, 0);
-      parts_.table.requeue(*one, now + k_broken_pause);
+      dependencies_.board.set_version(engine, owner->record.model, 0);
+      dependencies_.table.requeue(*one, now + k_broken_pause);
       break;
     }
     case run_end::unwanted:
@@ -433,9 +435,9 @@
   time_point const now = boot_clock::now();
   if (++one.failures >= owner.terms.max_attempts) {
     ++figures_.dead;
-    parts_.table.give_up(owner, key.index, now);
+    dependencies_.table.give_up(owner, key.index, now);
   } else {
-    parts_.table.requeue(one, now + k_failed_pause);
+    dependencies_.table.requeue(one, now + k_failed_pause);
   }
 }
 
--- a/src/jobs/sample_runner.h
+++ b/src/jobs/sample_runner.h
@@ -19,7 +19,7 @@
 namespace frostline::jobs {
 
 /// References outlive the runner.
-struct runner_parts {
+struct runner_dependencies {
   asio::io_context& context;
   calls::active_configuration const& configuration;
   directory::server_directory const& servers;
@@ -46,7 +46,8 @@
 
 class sample_runner {
  public:
-  explicit sample_runner(runner_parts parts) : parts_(std::move(parts)) {}
+  explicit sample_runner(runner_dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
   /// Starts what can be started, and moves runs off slow engines.
   void advance(time_point now);
@@ -122,13 +123,14 @@
   void conclude_failure(job& owner, run_key const& key, sample& one);
   std::string_view name_of(run_end end) const;
 
-  runner_parts parts_;
+  runner_dependencies dependencies_;
   std::map<run_id, open_run> runs_;
   std::map<run_id, run_key> keys_;
   run_id next_run_ = 1;
-  sample_scorer scorer_{scorer_parts{parts_.context, parts_.configuration, parts_.servers,
-                                     parts_.forwarder, parts_.names, parts_.table,
-                                     parts_.may_send_again, parts_.notify}};
+  sample_scorer scorer_{scorer_dependencies{dependencies_.context, dependencies_.configuration,
+                                            dependencies_.servers, dependencies_.forwarder,
+                                            dependencies_.names, dependencies_.table,
+                                            dependencies_.may_send_again, dependencies_.notify}};
   calls::share_picker shares_;
   /// Requests that this node may send once.
   std::set<quarantine::fingerprint> trials_;
--- a/src/jobs/sample_scorer.h
+++ b/src/jobs/sample_scorer.h
@@ -16,7 +16,7 @@
 namespace frostline::jobs {
 
 /// References outlive the scorer.
-struct scorer_parts {
+struct scorer_dependencies {
   asio::io_context& context;
   calls::active_configuration const& configuration;
   directory::server_directory const& servers;
@@ -40,7 +40,8 @@
 
 class sample_scorer {
  public:
-  explicit sample_scorer(scorer_parts parts) : parts_(std::move(parts)) {}
+  explicit sample_scorer(scorer_dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
   /// Asks the scorer of a sample whose text is whole, as soon as there is room.
   void start(std::string const& job, std::uint32_t index);
@@ -64,7 +65,7 @@
   /// The sample, if it still waits for its score.
   sample* waiting_sample(std::string const& job, std::uint32_t index);
 
-  scorer_parts parts_;
+  scorer_dependencies dependencies_;
   std::deque<waiting> queue_;
   std::size_t under_way_ = 0;
   std::size_t limit_ = 0;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -80,7 +80,7 @@
   std::unique_ptr<bulk::store> bulk_store_;
   std::unique_ptr<bulk::client> bulk_;
   std::unique_ptr<ownership::keeper> keeper_;
-  std::unique_ptr<rollout::node_parts> rollout_parts_;
+  std::unique_ptr<rollout::node_dependencies> rollout_parts_;
   std::unique_ptr<rollout::service> rollout_;
   std::unique_ptr<operators::service> operators_;
   routing::metrics routing_metrics_{*registry_};
@@ -138,10 +138,10 @@
   bulk::replica const replica{settings_.id, settings_.zone, settings_.listen.to_string()};
   bulk_ = std::make_unique<bulk::client>(transport_, members_, replica, bulk_store_.get(),
                                          settings_.bulk_copies);
-  rollout_parts_ = std::make_unique<rollout::node_parts>(
-      rollout::node_parts{context_, kv_, transport_, config_, config_sync_, members_, *keeper_,
-                          machines_, leaving_, *bulk_, settings_.zone, settings_.placement,
-                          settings_.listen.to_string(), nullptr, [this] { return is_cut_off(); }});
+  rollout_parts_ = std::make_unique<rollout::node_dependencies>(rollout::node_dependencies{
+      context_, kv_, transport_, config_, config_sync_, members_, *keeper_, machines_, leaving_,
+      *bulk_, settings_.zone, settings_.placement, settings_.listen.to_string(), nullptr,
+      [this] { return is_cut_off(); }});
   rollout_ = std::make_unique<rollout::service>(*rollout_parts_, leaving_, bulk_store_.get());
   register_methods();
   std::string failure = server_->listen(settings_.listen);
--- a/src/quarantine/evidence_keeper.cc
+++ b/src/quarantine/evidence_keeper.cc
@@ -21,7 +21,7 @@
 void evidence_keeper::keep() {
   if (writing_ || is_current()) return;
   writing_ = true;
-  spawn(parts_.context, write_loop());
+  spawn(dependencies_.context, write_loop());
 }
 
 void evidence_keeper::refresh() {
@@ -37,22 +37,22 @@
 
 awaitable<void> evidence_keeper::write_loop() {
   while (!is_current()) {
-    bool const written = co_await write(parts_.select());
+    bool const written = co_await write(dependencies_.select());
     co_await wait_for(written ? k_write_pause : with_jitter(k_write_retry));
   }
   writing_ = false;
 }
 
 awaitable<bool> evidence_keeper::write(std::vector<kept_evidence> requests) {
-  evidence_record record{parts_.self, parts_.incarnation, requests, wall_clock_ms()};
+  evidence_record record{dependencies_.self, dependencies_.incarnation, requests, wall_clock_ms()};
   kv::operation change;
-  change.key = evidence_record::key_of(parts_.node);
+  change.key = evidence_record::key_of(dependencies_.node);
   change.kind = requests.empty() ? kv::operation_kind::remove : kv::operation_kind::put;
   if (!requests.empty()) change.value = record.encode();
   kv::transaction transaction;
   transaction.on_success.push_back(std::move(change));
   ++writes_;
-  auto const outcome = co_await parts_.store.apply(std::move(transaction), k_write_timeout);
+  auto const outcome = co_await dependencies_.store.apply(std::move(transaction), k_write_timeout);
   bool const done = outcome && outcome.value().succeeded;
   log_line(log_level::info, k_part, done ? "Evidence stored." : "Evidence was not stored.",
            {{"requests", requests.size()},
--- a/src/quarantine/evidence_keeper.h
+++ b/src/quarantine/evidence_keeper.h
@@ -18,7 +18,7 @@
 namespace frostline::quarantine {
 
 /// References outlive the keeper.
-struct keeper_parts {
+struct keeper_dependencies {
   asio::io_context& context;
   kv::record_store& store;
   std::string node;
@@ -31,7 +31,8 @@
 
 class evidence_keeper {
  public:
-  explicit evidence_keeper(keeper_parts parts) : parts_(std::move(parts)) {}
+  explicit evidence_keeper(keeper_dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
   /// Writes what is to be kept now, if the record differs; again until that has succeeded.
   void keep();
@@ -42,11 +43,11 @@
   std::uint64_t writes() const { return writes_; }
 
  private:
-  bool is_current() const { return written_ && *written_ == parts_.select(); }
+  bool is_current() const { return written_ && *written_ == dependencies_.select(); }
   awaitable<void> write_loop();
   awaitable<bool> write(std::vector<kept_evidence> requests);
 
-  keeper_parts parts_;
+  keeper_dependencies dependencies_;
   /// What the store has taken; nothing before the first write.
   std::optional<std::vector<kept_evidence>> written_;
   bool writing_ = false;
--- a/src/quarantine/service.cc
+++ b/src/quarantine/service.cc
@@ -37,14 +37,14 @@
 
 }  // namespace
 
-service::service(service_parts parts)
-    : parts_(std::move(parts)),
+service::service(service_dependencies dependencies)
+    : dependencies_(std::move(dependencies)),
       incarnation_(make_unique_token()),
-      crash_watch_(parts_.context, parts_.servers,
+      crash_watch_(dependencies_.context, dependencies_.servers,
                    [this](std::vector<crash> crashes) { note_crashes(crashes); }),
-      keeper_({parts_.context, parts_.store, parts_.node, parts_.self, incarnation_,
-               [this] { return select_evidence(); }}),
-      evidence_(parts_.context) {}
+      keeper_({dependencies_.context, dependencies_.store, dependencies_.node, dependencies_.self,
+               incarnation_, [this] { return select_evidence(); }}),
+      evidence_(dependencies_.context) {}
 
 verdict service::check(fingerprint const& request, time_point now) const {
   verdict const listed = list_.check(request, now);
@@ -57,7 +57,7 @@
   if (seen == nullptr || !seen->enough_at) return false;
   // Collectors know better, and a record is in force 0.3 to 0.5 s after this node's own refusal
   // would be: a request that only stood beside the one that ends servers got 39 refusals for that.
-  if (parts_.are_records_current()) return false;
+  if (dependencies_.are_records_current()) return false;
   // It may still be answered, as soon as servers are back.
   bool const undisputed = now >= *seen->enough_at + quarantine_list::k_objection_time;
   return undisputed && now < seen->last_at + k_local_refusal;
@@ -122,7 +122,7 @@
   bool const settled = list_.is_proven(request) || writing_.contains(request);
   if (settled || !is_proven(request)) return;
   writing_.insert(request);
-  spawn(parts_.context, write_record(request));
+  spawn(dependencies_.context, write_record(request));
 }
 
 bool service::must_be_recorded(fingerprint const& request) const {
@@ -140,7 +140,7 @@
   ++suspicions_being_written_;
   co_await try_to_write(request, true);
   --suspicions_being_written_;
-  spawn(parts_.context, withdraw_suspicion(request));
+  spawn(dependencies_.context, withdraw_suspicion(request));
 }
 
 awaitable<void> service::withdraw_suspicion(fingerprint request) {
@@ -150,14 +150,14 @@
 }
 
 std::size_t service::own_rank() const {
-  auto const collectors = parts_.find_collectors();
-  auto const place = std::find(collectors.begin(), collectors.end(), parts_.self);
+  auto const collectors = dependencies_.find_collectors();
+  auto const place = std::find(collectors.begin(), collectors.end(), dependencies_.self);
   return static_cast<std::size_t>(place - collectors.begin());
 }
 
 bool service::leaves_it_to_collectors() const {
   // One node's evidence does not show which of the requests explains the crashes.
-  auto const collectors = parts_.find_collectors();
+  auto const collectors = dependencies_.find_collectors();
   if (own_rank() < collectors.size()) return false;
   return std::any_of(collectors.begin(), collectors.end(),
                      [this](endpoint const& one) { return !outbox_.has_pending(one); });
@@ -198,7 +198,7 @@
   transaction.compares.push_back({change.key, entry.revision});
   bool const removes = change.kind == kv::operation_kind::remove;
   transaction.on_success.push_back(std::move(change));
-  auto const outcome = co_await parts_.store.apply(std::move(transaction), k_write_timeout);
+  auto const outcome = co_await dependencies_.store.apply(std::move(transaction), k_write_timeout);
   if (!outcome) {
     log_line(log_level::info, k_part, "Record was not changed, as far as is known.",
              {{"fingerprint", entry.request.to_string()}, {"error", outcome.error().message()}});
@@ -228,7 +228,7 @@
   entry.is_suspicion = false;
   kv::operation put;
   put.key = quarantine_list::key_of(request);
-  put.value = quarantine_list::encode(entry, parts_.node);
+  put.value = quarantine_list::encode(entry, dependencies_.node);
   std::uint32_t const number = entry.trials;
   bool const claimed = co_await apply(std::move(entry), std::move(put));
   claiming_.erase(request);
@@ -250,7 +250,7 @@
 
 void service::start_to_take_back(fingerprint const& request) {
   if (!taking_back_.insert(request).second) return;
-  spawn(parts_.context, take_back(request));
+  spawn(dependencies_.context, take_back(request));
 }
 
 awaitable<void> service::take_back(fingerprint request) {
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -42,7 +42,7 @@
 namespace frostline::quarantine {
 
 /// References outlive the service.
-struct service_parts {
+struct service_dependencies {
   asio::io_context& context;
   kv::record_store& store;
   http::client& transport;
@@ -70,9 +70,9 @@
 
 class service {
  public:
-  explicit service(service_parts parts);
+  explicit service(service_dependencies dependencies);
 
-  void start() { spawn(parts_.context, report_loop()); }
+  void start() { spawn(dependencies_.context, report_loop()); }
   /// To be told of the store's records.
   kv::follower_callbacks listener();
   /// Registers what other nodes call.
@@ -159,7 +159,7 @@
   std::size_t least_kept_crashes() const;
   /// Has evidence stored, at collectors, that is enough to be.
   void keep_evidence(suspicion const& known);
-  bool is_collector() const { return own_rank() < parts_.find_collectors().size(); }
+  bool is_collector() const { return own_rank() < dependencies_.find_collectors().size(); }
   /// Has the first collector judge what was found at the start.
   void judge_in_time(time_point now);
   /// Puts requests under quarantine of which nobody remembers what the store tells.
@@ -172,7 +172,7 @@
   void start_to_take_back(fingerprint const& request);
   void forget(fingerprint const& request, std::string_view cause);
 
-  service_parts parts_;
+  service_dependencies dependencies_;
   std::string incarnation_;
   crash_watch crash_watch_;
   /// What this node has seen itself.
--- a/src/quarantine/service_evidence.cc
+++ b/src/quarantine/service_evidence.cc
@@ -48,11 +48,11 @@
 std::size_t service::least_kept_crashes() const {
   // Without collectors, as when the whole system has just started, only the store brings together
   // what different nodes have seen.
-  return parts_.find_collectors().empty() ? 1 : k_kept_crashes;
+  return dependencies_.find_collectors().empty() ? 1 : k_kept_crashes;
 }
 
 void service::keep_evidence(suspicion const& known) {
-  bool const keeps = is_collector() || parts_.find_collectors().empty();
+  bool const keeps = is_collector() || dependencies_.find_collectors().empty();
   if (keeps && known.servers.size() >= least_kept_crashes()) keeper_.keep();
 }
 
@@ -107,17 +107,17 @@
 void service::judge_in_time(time_point now) {
   if (now >= former_until_) former_.clear();
   if (found_at_start_.empty() || judging_ || own_rank() != 0) return;
-  bool const is_first = !parts_.find_collectors().empty();
+  bool const is_first = !dependencies_.find_collectors().empty();
   if (!is_first) return;
   judging_ = true;
-  spawn(parts_.context, judge_former_evidence());
+  spawn(dependencies_.context, judge_former_evidence());
 }
 
 awaitable<bool> service::is_remembered(evidence_record const& record) {
-  if (record.writer == parts_.self) co_return record.incarnation == incarnation_;
+  if (record.writer == dependencies_.self) co_return record.incarnation == incarnation_;
   auto const reply = co_await rpc::call<rpc::CrashReportCallT, rpc::CrashReportReplyT>(
-      parts_.transport, record.writer, "QuarantineService", "Report", rpc::CrashReportCallT(),
-      k_question_timeout);
+      dependencies_.transport, record.writer, "QuarantineService", "Report",
+      rpc::CrashReportCallT(), k_question_timeout);
   co_return reply&& reply.value().incarnation == record.incarnation;
 }
 
@@ -152,7 +152,7 @@
 awaitable<void> service::remove_former_records() {
   kv::transaction removal;
   for (former_record const& one : found_at_start_) {
-    bool const own = one.key == evidence_record::key_of(parts_.node);
+    bool const own = one.key == evidence_record::key_of(dependencies_.node);
     if (own || removal.on_success.size() == k_most_removed) continue;
     if (co_await is_remembered(one.what)) continue;
     removal.compares.push_back({one.key, one.revision});
@@ -163,7 +163,7 @@
   }
   if (removal.on_success.empty()) co_return;
   std::size_t const count = removal.on_success.size();
-  auto const outcome = co_await parts_.store.apply(std::move(removal), k_removal_timeout);
+  auto const outcome = co_await dependencies_.store.apply(std::move(removal), k_removal_timeout);
   // Left as they are, they are found again at the next start, until they are old.
   bool const removed = outcome && outcome.value().succeeded;
   log_line(log_level::info, k_part, "Evidence of nodes that are gone is removed.",
--- a/src/quarantine/service_reports.cc
+++ b/src/quarantine/service_reports.cc
@@ -24,16 +24,16 @@
       co_await evidence_.wait();
       co_await wait_for(k_report_pause);
     }
-    auto const collectors = parts_.find_collectors();
+    auto const collectors = dependencies_.find_collectors();
     outbox_.keep_collectors(collectors);
     for (endpoint const& collector : collectors) {
-      bool const due = collector != parts_.self && outbox_.has_pending(collector);
+      bool const due = collector != dependencies_.self && outbox_.has_pending(collector);
       if (due && reporting_to_.insert(collector).second) {
-        spawn(parts_.context, report_to(collector));
+        spawn(dependencies_.context, report_to(collector));
       }
     }
     bool const waiting = std::any_of(collectors.begin(), collectors.end(), [this](auto const& one) {
-      return one != parts_.self && outbox_.has_pending(one);
+      return one != dependencies_.self && outbox_.has_pending(one);
     });
     // Whoever becomes a collector later is told, too.
     co_await evidence_.wait_until(boot_clock::now() + (waiting ? k_report_retry : k_idle_look));
@@ -43,7 +43,7 @@
 awaitable<void> service::report_to(endpoint collector) {
   crash_report const report = outbox_.next_report(collector);
   rpc::CrashReportCallT call;
-  call.node = parts_.node;
+  call.node = dependencies_.node;
   for (crash const& one : report.evidence) {
     auto evidence = std::make_unique<rpc::CrashEvidenceT>();
     evidence->fingerprint = one.request.to_string();
@@ -51,7 +51,7 @@
     call.evidence.push_back(std::move(evidence));
   }
   auto const reply = co_await rpc::call<rpc::CrashReportCallT, rpc::CrashReportReplyT>(
-      parts_.transport, collector, "QuarantineService", "Report", call, k_report_timeout);
+      dependencies_.transport, collector, "QuarantineService", "Report", call, k_report_timeout);
   reporting_to_.erase(collector);
   if (reply) {
     outbox_.note_told(collector, reply.value().incarnation, report.up_to);
--- a/src/rollout/context.h
+++ b/src/rollout/context.h
@@ -20,7 +20,7 @@
 namespace frostline::rollout {
 
 /// References to the node's parts; they outlive the services.
-struct node_parts {
+struct node_dependencies {
   asio::io_context& context;
   kv::client& service;
   http::client& transport;
--- a/src/rollout/service.cc
+++ b/src/rollout/service.cc
@@ -30,10 +30,10 @@
 
 }  // namespace
 
-service::service(node_parts& parts, routing::leaving_tracker& leaving_marks,
+service::service(node_dependencies& dependencies, routing::leaving_tracker& leaving_marks,
                  bulk::store* local_bulk)
-    : parts_(parts), leaving_marks_(leaving_marks), local_bulk_(local_bulk) {
-  parts_.local_controller = [this](std::string const& engine) {
+    : dependencies_(dependencies), leaving_marks_(leaving_marks), local_bulk_(local_bulk) {
+  dependencies_.local_controller = [this](std::string const& engine) {
     auto const found = controllers_.find(engine);
     return found == controllers_.end() ? nullptr : found->second;
   };
@@ -62,13 +62,13 @@
 
 std::vector<ownership::resource> service::list_resources() const {
   std::vector<ownership::resource> resources;
-  for (auto const& [name, task] : parts_.config.tasks()) {
+  for (auto const& [name, task] : dependencies_.config.tasks()) {
     for (std::uint32_t shard = 0; shard < std::max<std::uint32_t>(1, task.record.shards); ++shard) {
       resources.push_back(
           {config::key_of(config::k_shard_owners, config::shard_name(name, shard)), {}});
     }
   }
-  for (auto const& [id, machine] : parts_.machines.machines()) {
+  for (auto const& [id, machine] : dependencies_.machines.machines()) {
     if (machine.kind != machines::machine_kind::engine) continue;
     resources.push_back({config::key_of(config::k_engine_owners, id), machine.zone});
   }
@@ -85,21 +85,22 @@
 }
 
 void service::reconcile_shards() {
-  for (auto const& [name, held] : parts_.config.shard_owners()) {
-    kv::revision const epoch = parts_.owner.epoch_of(config::key_of(config::k_shard_owners, name));
+  for (auto const& [name, held] : dependencies_.config.shard_owners()) {
+    kv::revision const epoch =
+        dependencies_.owner.epoch_of(config::key_of(config::k_shard_owners, name));
     auto const existing = owners_.find(name);
     bool const current = existing != owners_.end() && existing->second->epoch() == epoch;
     if (epoch == 0 || current) continue;
     if (existing != owners_.end()) existing->second->stop();
     auto const slash = name.rfind('/');
     auto const shard = static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)));
-    auto owner = std::make_shared<shard_owner>(parts_, name.substr(0, slash), shard, epoch);
+    auto owner = std::make_shared<shard_owner>(dependencies_, name.substr(0, slash), shard, epoch);
     owners_[name] = owner;
     owner->start();
   }
   for (auto at = owners_.begin(); at != owners_.end();) {
     std::string const key = config::key_of(config::k_shard_owners, at->first);
-    bool const held = parts_.owner.epoch_of(key) == at->second->epoch();
+    bool const held = dependencies_.owner.epoch_of(key) == at->second->epoch();
     if (!held) at->second->stop();
     at = held ? std::next(at) : owners_.erase(at);
   }
@@ -110,9 +111,10 @@
     controller->stop();
     if (controller->in_flight() > 0) retired_.push_back(controller);
   };
-  for (auto const& [id, machine] : parts_.machines.machines()) {
+  for (auto const& [id, machine] : dependencies_.machines.machines()) {
     if (machine.kind != machines::machine_kind::engine) continue;
-    kv::revision const epoch = parts_.owner.epoch_of(config::key_of(config::k_engine_owners, id));
+    kv::revision const epoch =
+        dependencies_.owner.epoch_of(config::key_of(config::k_engine_owners, id));
     auto const existing = controllers_.find(id);
     bool const current = existing != controllers_.end() && existing->second->epoch() == epoch &&
                          existing->second->machine() == machine;
@@ -122,8 +124,9 @@
       controllers_.erase(existing);
     }
     if (epoch == 0) continue;
-    auto controller = std::make_shared<engines::controller>(
-        parts_.context, parts_.transport, parts_.config, leaving_marks_, machine, epoch);
+    auto controller =
+        std::make_shared<engines::controller>(dependencies_.context, dependencies_.transport,
+                                              dependencies_.config, leaving_marks_, machine, epoch);
     controllers_[id] = controller;
     controller->start();
   }
@@ -159,15 +162,15 @@
 }
 
 std::optional<endpoint> service::remote_owner(std::string const& shard_name) const {
-  auto const* owner = parts_.config.find_shard_owner(shard_name);
-  if (owner == nullptr || ownership::is_self(owner->record, parts_.owner.self())) {
+  auto const* owner = dependencies_.config.find_shard_owner(shard_name);
+  if (owner == nullptr || ownership::is_self(owner->record, dependencies_.owner.self())) {
     return std::nullopt;
   }
   return parse_endpoint(owner->record.address);
 }
 
 awaitable<service::submit_reply> service::submit(rpc::SubmitGroupsRequestT request) {
-  auto const* task = parts_.config.find_task(request.task);
+  auto const* task = dependencies_.config.find_task(request.task);
   if (task == nullptr) co_return no_such_task(request.task);
   if (request.groups.size() > k_most_groups) co_return rpc::bad_request("too many groups");
   std::uint32_t const shards = std::max<std::uint32_t>(1, task->record.shards);
@@ -201,11 +204,12 @@
   if (!remote || request.forwarded) co_return owner_unknown(name);
   request.forwarded = true;
   co_return co_await rpc::call<rpc::SubmitGroupsRequestT, rpc::SubmitGroupsResponseT>(
-      parts_.transport, *remote, "TrainerService", "SubmitGroups", request, k_submit_timeout);
+      dependencies_.transport, *remote, "TrainerService", "SubmitGroups", request,
+      k_submit_timeout);
 }
 
 awaitable<service::pull_reply> service::pull(rpc::PullBatchRequestT request) {
-  auto const* task = parts_.config.find_task(request.task);
+  auto const* task = dependencies_.config.find_task(request.task);
   if (task == nullptr) co_return no_such_task(request.task);
   if (request.shard >= std::max<std::uint32_t>(1, task->record.shards)) {
     co_return rpc::bad_request("no such shard: " + std::to_string(request.shard));
@@ -218,12 +222,12 @@
   request.forwarded = true;
   milliseconds const timeout = milliseconds(request.max_wait_ms) + k_pull_margin;
   co_return co_await rpc::call<rpc::PullBatchRequestT, rpc::PullBatchResponseT>(
-      parts_.transport, *remote, "TrainerService", "PullBatch", request, timeout);
+      dependencies_.transport, *remote, "TrainerService", "PullBatch", request, timeout);
 }
 
 awaitable<rpc::reply<rpc::RunSampleResponseT>> service::run_sample(rpc::RunSampleRequestT request) {
-  auto const controller = parts_.local_controller(request.engine);
-  if (!controller || parts_.is_cut_off()) {
+  auto const controller = dependencies_.local_controller(request.engine);
+  if (!controller || dependencies_.is_cut_off()) {
     rpc::RunSampleResponseT refusal;
     refusal.outcome = rpc::RunOutcome::REFUSED;
     refusal.reason = controller ? "cut_off" : "not_controller";
@@ -236,7 +240,7 @@
 awaitable<rpc::reply<rpc::CancelSampleResponseT>> service::cancel(
     rpc::CancelSampleRequestT request) {
   rpc::CancelSampleResponseT response;
-  auto const controller = parts_.local_controller(request.engine);
+  auto const controller = dependencies_.local_controller(request.engine);
   response.cancelled = controller && controller->cancel(request.attempt);
   co_return response;
 }
@@ -266,7 +270,7 @@
 void service::describe(rpc::GetStatusResponseT& status) const {
   for (auto const& [id, controller] : controllers_) {
     auto engine = std::make_unique<rpc::EngineStatusT>(controller->status());
-    engine->controller = parts_.owner.self().node;
+    engine->controller = dependencies_.owner.self().node;
     status.engines.push_back(std::move(engine));
   }
   for (auto const& [name, owner] : owners_) {
--- a/src/rollout/service.h
+++ b/src/rollout/service.h
@@ -14,9 +14,10 @@
 
 class service {
  public:
-  /// @param parts its `local_controller` is set to this service's.
+  /// @param dependencies its `local_controller` is set to this service's.
   /// @param leaving_marks where controllers note what engines say of themselves.
-  service(node_parts& parts, routing::leaving_tracker& leaving_marks, bulk::store* local_bulk);
+  service(node_dependencies& dependencies, routing::leaving_tracker& leaving_marks,
+          bulk::store* local_bulk);
 
   void register_methods(rpc::dispatcher& methods);
   /// Everything that wants an owner, by what this node knows.
@@ -49,7 +50,7 @@
   void reconcile_shards();
   void reconcile_engines();
 
-  node_parts& parts_;
+  node_dependencies& dependencies_;
   routing::leaving_tracker& leaving_marks_;
   bulk::store* local_bulk_;
   std::map<std::string, std::shared_ptr<shard_owner>> owners_;
--- a/src/rollout/shard_batches.cc
+++ b/src/rollout/shard_batches.cc
@@ -111,7 +111,7 @@
   all.owner_key = config::key_of(config::k_shard_owners, name_);
   all.epoch = epoch_;
   all.version_key = config::key_of(config::k_versions, task_);
-  all.version_revision = parts_.config.version_revision(task_);
+  all.version_revision = dependencies_.config.version_revision(task_);
   all.record_key = config::key_of(config::k_delivery, name_);
   all.record_revision = ledger_.revision();
   return all;
@@ -202,9 +202,9 @@
   std::uint64_t const watermark = ledger_.delivered().watermark();
   if (ledger_.batch() == 0) return;
   table_.forget_below(watermark);
-  spawn(parts_.context,
+  spawn(dependencies_.context,
         [](std::shared_ptr<shard_owner> self, std::uint64_t below) -> awaitable<void> {
-          co_await self->parts_.bulk.forget(self->task_, self->shard_, below);
+          co_await self->dependencies_.bulk.forget(self->task_, self->shard_, below);
         }(shared_from_this(), watermark));
 }
 
@@ -220,7 +220,7 @@
     case delivery::commit_result::version_moved:
       if (answer.version_entry) {
         kv::key_value const& entry = *answer.version_entry;
-        parts_.config_sync.apply_own({entry.key, entry.mod_revision, entry.value, false});
+        dependencies_.config_sync.apply_own({entry.key, entry.mod_revision, entry.value, false});
       }
       return std::nullopt;
     case delivery::commit_result::record_moved:
--- a/src/rollout/shard_owner.cc
+++ b/src/rollout/shard_owner.cc
@@ -21,28 +21,28 @@
 constexpr std::uint32_t k_largest_group = 1024;
 constexpr milliseconds k_window_retry{1000};
 
-std::uint32_t shard_count(node_parts const& parts, std::string const& task) {
-  auto const* held = parts.config.find_task(task);
+std::uint32_t shard_count(node_dependencies const& dependencies, std::string const& task) {
+  auto const* held = dependencies.config.find_task(task);
   return held == nullptr ? 1 : std::max<std::uint32_t>(1, held->record.shards);
 }
 
 }  // namespace
 
-shard_owner::shard_owner(node_parts& parts, std::string task, std::uint32_t shard,
+shard_owner::shard_owner(node_dependencies& dependencies, std::string task, std::uint32_t shard,
                          kv::revision epoch)
-    : parts_(parts),
+    : dependencies_(dependencies),
       task_(std::move(task)),
       shard_(shard),
       epoch_(epoch),
       name_(config::shard_name(task_, shard)),
       table_(name_ + "/" + std::to_string(epoch)),
-      ledger_(shard, shard_count(parts, task_)),
-      committer_(parts.service),
-      placement_(make_placement_policy(parts.placement, epoch)),
-      changed_(parts.context) {}
+      ledger_(shard, shard_count(dependencies, task_)),
+      committer_(dependencies.service),
+      placement_(make_placement_policy(dependencies.placement, epoch)),
+      changed_(dependencies.context) {}
 
 void shard_owner::start() {
-  spawn(parts_.context, [](std::shared_ptr<shard_owner> self) -> awaitable<void> {
+  spawn(dependencies_.context, [](std::shared_ptr<shard_owner> self) -> awaitable<void> {
     co_await self->main_loop();
   }(shared_from_this()));
 }
@@ -55,7 +55,7 @@
 void shard_owner::on_change() { changed_.notify_all(); }
 
 rpc::TaskRecordT const* shard_owner::task_record() const {
-  auto const* task = parts_.config.find_task(task_);
+  auto const* task = dependencies_.config.find_task(task_);
   return task == nullptr ? nullptr : &task->record;
 }
 
@@ -103,7 +103,7 @@
   bool const loaded = co_await reload_record();
   if (!loaded) co_return false;
   if (bulk_loaded_) co_return true;
-  auto bulk = co_await parts_.bulk.load(task_, shard_);
+  auto bulk = co_await dependencies_.bulk.load(task_, shard_);
   if (bulk.replicas_read == 0) co_return false;
   if (bulk.replicas_failed > 0) {
     log_line(log_level::warning, k_part, "Recovers without some disk nodes.",
@@ -113,7 +113,8 @@
   bulk_loaded_ = true;
   bool const whole = bulk.short_of_copies.groups.empty() && bulk.short_of_copies.samples.empty();
   if (!whole)
-    spawn(parts_.context, restore_copies(shared_from_this(), std::move(bulk.short_of_copies)));
+    spawn(dependencies_.context,
+          restore_copies(shared_from_this(), std::move(bulk.short_of_copies)));
   co_return true;
 }
 
@@ -121,7 +122,7 @@
 awaitable<void> shard_owner::restore_copies(std::shared_ptr<shard_owner> self,
                                             rpc::StoreBulkRequestT missing) {
   while (!self->is_stopped()) {
-    bool const stored = co_await self->parts_.bulk.put(missing);
+    bool const stored = co_await self->dependencies_.bulk.put(missing);
     if (stored) co_return;
     co_await wait_for(k_copy_retry);
   }
@@ -166,7 +167,7 @@
   bulk.task = task_;
   bulk.shard = shard_;
   rpc::SubmitGroupsResponseT response;
-  response.shards = shard_count(parts_, task_);
+  response.shards = shard_count(dependencies_, task_);
   for (auto& group : request.groups) {
     if (group->samples == 0 || group->samples > k_largest_group || group->max_tokens == 0) {
       co_return rpc::bad_request("group " + std::to_string(group->group) +
@@ -187,7 +188,7 @@
   ++answering_;
   std::vector<sample_group> added;
   for (auto const& group : bulk.groups) added.push_back(from_wire(*group));
-  bool const stored = co_await parts_.bulk.put(std::move(bulk));
+  bool const stored = co_await dependencies_.bulk.put(std::move(bulk));
   --answering_;
   if (!stored || state_ != owner_state::serving) {
     co_return rpc::unavailable(rpc::reason::not_ready, "groups could not be stored",
@@ -206,7 +207,7 @@
   rpc::ShardStatusT status;
   status.task = task_;
   status.shard = shard_;
-  status.owner = parts_.owner.self().node;
+  status.owner = dependencies_.owner.self().node;
   status.epoch = epoch_;
   status.queued = table_.counts().queued;
   status.running = table_.counts().running;
--- a/src/rollout/shard_owner.h
+++ b/src/rollout/shard_owner.h
@@ -21,7 +21,8 @@
 
 class shard_owner : public std::enable_shared_from_this<shard_owner> {
  public:
-  shard_owner(node_parts& parts, std::string task, std::uint32_t shard, kv::revision epoch);
+  shard_owner(node_dependencies& dependencies, std::string task, std::uint32_t shard,
+              kv::revision epoch);
 
   void start();
   /// The shard is another's now, or the node stops: nothing more is committed.
@@ -82,10 +83,10 @@
 
   bool is_stopped() const { return state_ == owner_state::stopped; }
   rpc::TaskRecordT const* task_record() const;
-  std::uint64_t published() const { return parts_.config.published_version(task_); }
+  std::uint64_t published() const { return dependencies_.config.published_version(task_); }
   std::uint32_t bound() const;
 
-  node_parts& parts_;
+  node_dependencies& dependencies_;
   std::string task_;
   std::uint32_t shard_;
   kv::revision epoch_;
--- a/src/rollout/shard_runs.cc
+++ b/src/rollout/shard_runs.cc
@@ -31,10 +31,11 @@
 void shard_owner::refresh_engines() {
   auto const* task = task_record();
   std::set<std::string> usable;
-  for (auto const& [id, machine] : parts_.machines.machines()) {
+  for (auto const& [id, machine] : dependencies_.machines.machines()) {
     if (machine.kind != machines::machine_kind::engine) continue;
-    auto const* owner = parts_.config.find_engine_owner(id);
-    bool const leaves = machine.leaving || parts_.leaving.is_leaving(id, machine.incarnation, {});
+    auto const* owner = dependencies_.config.find_engine_owner(id);
+    bool const leaves =
+        machine.leaving || dependencies_.leaving.is_leaving(id, machine.incarnation, {});
     if (owner == nullptr || leaves || task == nullptr || !allows(*task, id)) continue;
     engine_view& view = engines_[id];
     view.id = id;
@@ -49,22 +50,22 @@
 }
 
 void shard_owner::dispatch() {
-  if (parts_.is_cut_off() || published() == 0 || task_record() == nullptr) return;
+  if (dependencies_.is_cut_off() || published() == 0 || task_record() == nullptr) return;
   refresh_engines();
   std::vector<engine_view> views;
   for (auto const& [id, view] : engines_) views.push_back(view);
   time_point const now = boot_clock::now();
   while (auto const group = table_.peek_group(now)) {
-    placement_request const request{*group, parts_.zone};
+    placement_request const request{*group, dependencies_.zone};
     auto const chosen = place(*placement_, views, request, now);
     if (!chosen) return;
     auto work = table_.take_next(now);
     std::string const engine = views[*chosen].id;
     ++views[*chosen].in_flight;
     ++engines_[engine].in_flight;
-    auto const* owner = parts_.config.find_engine_owner(engine);
+    auto const* owner = dependencies_.config.find_engine_owner(engine);
     runs_[work->attempt] = {engine, owner->record.node, owner->revision, work->key};
-    spawn(parts_.context,
+    spawn(dependencies_.context,
           [](std::shared_ptr<shard_owner> self, work_item item,
              std::string target) -> awaitable<void> {
             co_await self->run_sample(std::move(item), std::move(target));
@@ -76,7 +77,7 @@
 void shard_owner::abandon_lost_runs() {
   std::vector<std::string> lost;
   for (auto const& [attempt, run] : runs_) {
-    auto const* controller = parts_.members.find(run.controller_node);
+    auto const* controller = dependencies_.members.find(run.controller_node);
     bool const dead =
         controller != nullptr && controller->update.state == membership::member_state::DEAD;
     if (dead) lost.push_back(attempt);
@@ -100,12 +101,12 @@
 
 awaitable<rpc::reply<rpc::RunSampleResponseT>> shard_owner::call_controller(
     std::string engine, rpc::RunSampleRequestT request) {
-  auto const local = parts_.local_controller(engine);
+  auto const local = dependencies_.local_controller(engine);
   if (local) co_return co_await local->run(std::move(request));
   auto const where = parse_endpoint(engines_[engine].controller);
   if (!where) co_return rpc::unavailable(rpc::reason::owner_unknown, engine, k_failure_pause);
   co_return co_await rpc::call<rpc::RunSampleRequestT, rpc::RunSampleResponseT>(
-      parts_.transport, *where, "NodeService", "RunSample", request, k_run_timeout);
+      dependencies_.transport, *where, "NodeService", "RunSample", request, k_run_timeout);
 }
 
 awaitable<void> shard_owner::run_sample(work_item work, std::string engine) {
@@ -209,7 +210,8 @@
   body["index"] = sample.key.index;
   body["text"] = sample.text;
   auto message = http::make_post("/score", boost::json::serialize(body), http::k_json);
-  auto answer = co_await parts_.transport.exchange(*where, std::move(message), k_score_timeout);
+  auto answer =
+      co_await dependencies_.transport.exchange(*where, std::move(message), k_score_timeout);
   if (!answer || answer.value().result() != http::status::ok) co_return false;
   auto const parsed = parse_json_object(answer.value().body());
   auto const* value = parsed ? parsed->if_contains("score") : nullptr;
@@ -224,7 +226,7 @@
   request.task = task_;
   request.shard = shard_;
   request.samples.push_back(to_wire(sample));
-  co_return co_await parts_.bulk.put(std::move(request));
+  co_return co_await dependencies_.bulk.put(std::move(request));
 }
 
 }  // namespace frostline::rollout
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -68,20 +68,22 @@
 
 }  // namespace
 
-usage_reporter::usage_reporter(reporter_parts parts)
-    : parts_(std::move(parts)), ledger_(parts_.options), incarnation_(make_unique_token()) {}
+usage_reporter::usage_reporter(reporter_dependencies dependencies)
+    : dependencies_(std::move(dependencies)),
+      ledger_(dependencies_.options),
+      incarnation_(make_unique_token()) {}
 
 std::string usage_reporter::state_key() { return std::string(k_state_key); }
 
 void usage_reporter::start() {
-  spawn(parts_.context, tell_loop());
-  spawn(parts_.context, hold_loop());
+  spawn(dependencies_.context, tell_loop());
+  spawn(dependencies_.context, hold_loop());
 }
 
 rpc::UsageReplyT usage_reporter::count(rpc::UsageCallT call) {
   rpc::UsageReplyT reply;
   time_point const now = boot_clock::now();
-  if (state_ != holder_state::active || !parts_.lease.holds(now)) return reply;
+  if (state_ != holder_state::active || !dependencies_.lease.holds(now)) return reply;
   std::uint64_t const late_before = ledger_.late();
   reply.counted_to = ledger_.take(call, now);
   reply.taken = true;
@@ -96,36 +98,37 @@
   while (!leaving_) {
     co_await wait_for(k_tick);
     time_point const now = boot_clock::now();
-    parts_.counter.forget_before(now - k_retention);
+    dependencies_.counter.forget_before(now - k_retention);
     if (!leaving_ && is_time_to_tell(now)) co_await tell_holder(k_tell_timeout);
   }
 }
 
 bool usage_reporter::is_time_to_tell(time_point now) const {
-  auto const& holder = parts_.lease.owner();
+  auto const& holder = dependencies_.lease.owner();
   if (!holder) return false;
   if (holder->epoch != told_epoch_) return true;
-  bool const news = parts_.counter.has_entries_after(told_to_);
+  bool const news = dependencies_.counter.has_entries_after(told_to_);
   return now - told_at_ >= (news ? k_tell_interval : k_idle_interval);
 }
 
 awaitable<void> usage_reporter::tell_holder(milliseconds timeout) {
-  auto const holder = parts_.lease.owner();
+  auto const holder = dependencies_.lease.owner();
   if (!holder || telling_) co_return;
   telling_ = true;
   std::uint64_t const from = holder->epoch == told_epoch_ ? told_to_ : 0;
-  rpc::UsageCallT call = parts_.counter.entries_after(from, boot_clock::now(), k_most_entries);
-  call.node = parts_.node;
+  rpc::UsageCallT call =
+      dependencies_.counter.entries_after(from, boot_clock::now(), k_most_entries);
+  call.node = dependencies_.node;
   call.incarnation = incarnation_;
   call.wall_clock_ms = wall_clock_ms();
   call.leaving = leaving_;
   rpc::UsageReplyT reply;
   std::string failure;
-  if (holder->node == parts_.node) {
+  if (holder->node == dependencies_.node) {
     reply = count(std::move(call));
   } else {
     auto answer = co_await rpc::call<rpc::UsageCallT, rpc::UsageReplyT>(
-        parts_.transport, holder->address, "UsageService", "Count", call, timeout);
+        dependencies_.transport, holder->address, "UsageService", "Count", call, timeout);
     if (answer) reply = answer.value();
     if (!answer) failure = answer.error().detail;
   }
@@ -145,11 +148,12 @@
   while (!leaving_) {
     co_await wait_for(k_tick);
     time_point const now = boot_clock::now();
-    if (!parts_.lease.holds(now)) {
-      if (parts_.lease.state() != ownership::lease_state::owner) state_ = holder_state::standby;
+    if (!dependencies_.lease.holds(now)) {
+      if (dependencies_.lease.state() != ownership::lease_state::owner)
+        state_ = holder_state::standby;
       continue;
     }
-    if (state_ != holder_state::active || epoch_ != parts_.lease.epoch()) co_await load();
+    if (state_ != holder_state::active || epoch_ != dependencies_.lease.epoch()) co_await load();
     if (state_ != holder_state::active || leaving_) continue;
     close_windows(now);
     bool const closed =
@@ -163,9 +167,9 @@
 
 awaitable<void> usage_reporter::load() {
   state_ = holder_state::loading;
-  std::uint64_t const epoch = parts_.lease.epoch();
-  auto answer = co_await parts_.store.list(state_key());
-  if (!answer || epoch != parts_.lease.epoch()) co_return;
+  std::uint64_t const epoch = dependencies_.lease.epoch();
+  auto answer = co_await dependencies_.store.list(state_key());
+  if (!answer || epoch != dependencies_.lease.epoch()) co_return;
   std::optional<rpc::UsageStateT> state;
   state_revision_ = 0;
   stored_windows_.clear();
@@ -190,7 +194,7 @@
            {{"epoch", epoch},
             {"state", state ? "stored" : "none"},
             {"unreported", ledger_.unreported().size()},
-            {"may_report", parts_.lease.may_order(loaded_at_) ? "yes" : "later"}});
+            {"may_report", dependencies_.lease.may_order(loaded_at_) ? "yes" : "later"}});
 }
 
 void usage_reporter::close_windows(time_point now) {
@@ -219,7 +223,8 @@
   rpc::UsageStateT state = ledger_.state();
   state.token = make_unique_token();
   kv::transaction change;
-  change.compares.push_back({ownership::owner_lease::key_of(parts_.lease.resource()), epoch});
+  change.compares.push_back(
+      {ownership::owner_lease::key_of(dependencies_.lease.resource()), epoch});
   change.compares.push_back({state_key(), state_revision_});
   kv::operation put;
   put.key = state_key();
@@ -227,12 +232,12 @@
   change.on_success.push_back(std::move(put));
   ledger_.note_stored();
   stored_at_ = boot_clock::now();
-  auto outcome = co_await parts_.store.apply(std::move(change), k_store_timeout);
+  auto outcome = co_await dependencies_.store.apply(std::move(change), k_store_timeout);
   kv::revision revision = outcome && outcome.value().succeeded ? outcome.value().store_revision : 0;
   bool stored = revision != 0;
   // The write, or an earlier one whose answer was lost, may have taken effect all the same.
   if (!stored) co_await take_stored(revision, state.token, stored);
-  if (epoch != parts_.lease.epoch() || state_ != holder_state::active) co_return;
+  if (epoch != dependencies_.lease.epoch() || state_ != holder_state::active) co_return;
   if (revision != 0) state_revision_ = revision;
   if (!stored) {
     ledger_.note_not_stored();
@@ -244,7 +249,7 @@
 
 awaitable<void> usage_reporter::take_stored(kv::revision& revision, std::string const& token,
                                             bool& stored) {
-  auto answer = co_await parts_.store.list(state_key());
+  auto answer = co_await dependencies_.store.list(state_key());
   if (!answer) {
     log_line(log_level::warning, k_part, "The state of usage could not be stored.",
              {{"epoch", epoch_}, {"error", answer.error().message()}});
@@ -259,7 +264,7 @@
 }
 
 bool usage_reporter::is_given_up(std::uint64_t window, time_point now) const {
-  auto const end = static_cast<wall_time>(window + 1) * parts_.options.window.count();
+  auto const end = static_cast<wall_time>(window + 1) * dependencies_.options.window.count();
   return ledger_.true_time(now) - end > k_longest_trying.count();
 }
 
@@ -270,7 +275,8 @@
     if (found == ledger_.unreported().end()) continue;
     time_point const begin = boot_clock::now();
     // Checked right before each call: what is sent must not come after a successor's first call.
-    if (leaving_ || state_ != holder_state::active || !parts_.lease.may_order(begin)) co_return;
+    if (leaving_ || state_ != holder_state::active || !dependencies_.lease.may_order(begin))
+      co_return;
     if (is_given_up(window, begin)) {
       ++figures_.windows_given_up;
       log_line(log_level::error, k_part, "Report of usage given up.",
@@ -279,8 +285,8 @@
       continue;
     }
     rpc::UsageWindowT const report = found->second;
-    duty_holder const holder{parts_.node, epoch_};
-    report_reply const reply = co_await parts_.service.report_usage(holder, report);
+    duty_holder const holder{dependencies_.node, epoch_};
+    report_reply const reply = co_await dependencies_.service.report_usage(holder, report);
     auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
     bool const accepted = reply == report_reply::accepted;
     log_line(accepted ? log_level::info : log_level::warning, k_part, "Usage reported.",
@@ -304,7 +310,7 @@
   leaving_ = true;
   auto const left = std::chrono::duration_cast<milliseconds>(deadline - boot_clock::now());
   while ((telling_ || storing_) && boot_clock::now() < deadline) co_await wait_for(milliseconds(5));
-  bool const holds = state_ == holder_state::active && parts_.lease.holds(boot_clock::now());
+  bool const holds = state_ == holder_state::active && dependencies_.lease.holds(boot_clock::now());
   if (left > milliseconds(0)) co_await tell_holder(std::min(left, k_tell_timeout));
   if (holds && ledger_.is_changed()) co_await store_state();
 }
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -20,7 +20,7 @@
 namespace frostline::usage {
 
 /// References outlive the reporter.
-struct reporter_parts {
+struct reporter_dependencies {
   asio::io_context& context;
   kv::record_store& store;
   http::client& transport;
@@ -45,7 +45,7 @@
 
 class usage_reporter {
  public:
-  explicit usage_reporter(reporter_parts parts);
+  explicit usage_reporter(reporter_dependencies dependencies);
 
   void start();
   /// What a node has counted, this one included.
@@ -76,7 +76,7 @@
   awaitable<void> report_stored();
   bool is_given_up(std::uint64_t window, time_point now) const;
 
-  reporter_parts parts_;
+  reporter_dependencies dependencies_;
   usage_ledger ledger_;
   std::string incarnation_;
   holder_state state_ = holder_state::standby;
