--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-struct application::parts {
-  parts(asio::io_context& context, settings all, platform_adapter& adapter);
+struct application::components {
+  components(asio::io_context& context, settings all, platform_adapter& adapter);
 
   std::string start();
   awaitable<void> stop(std::function<void()> on_stopped);
@@ -119,21 +119,22 @@
 };
 
 application::application(asio::io_context& context, settings all, platform_adapter& adapter)
-    : parts_(std::make_unique<parts>(context, std::move(all), adapter)) {}
+    : components_(std::make_unique<components>(context, std::move(all), adapter)) {}
 
 application::~application() = default;
 
-std::string application::start() { return parts_->start(); }
+std::string application::start() { return components_->start(); }
 
 void application::stop(std::function<void()> on_stopped) {
-  spawn(parts_->context(), parts_->stop(std::move(on_stopped)));
+  spawn(components_->context(), components_->stop(std::move(on_stopped)));
 }
 
-void application::reload(settings const& all) { parts_->reload(all); }
+void application::reload(settings const& all) { components_->reload(all); }
 
-application_state application::state() const { return parts_->state(); }
+application_state application::state() const { return components_->state(); }
 
-application::parts::parts(asio::io_context& context, settings all, platform_adapter& adapter)
+application::components::components(asio::io_context& context, settings all,
+                                    platform_adapter& adapter)
     : context_(context), settings_(std::move(all)), adapter_(adapter) {
   usage::duty_service* const service = adapter_.duty_service();
   if (service != nullptr && settings_.usage_window > milliseconds(0)) {
@@ -146,7 +147,7 @@
   quarantine_.add_methods(peer_methods_);
 }
 
-std::string application::parts::listen() {
+std::string application::components::listen() {
   http::server_limits limits;
   limits.body_bytes = k_peer_body_bytes;
   peers_ = std::make_unique<http::server>(
@@ -166,7 +167,7 @@
   return failure;
 }
 
-std::string application::parts::start() {
+std::string application::components::start() {
   std::string failure = listen();
   if (!failure.empty()) return failure;
   servers_.on_change([this](std::vector<std::string> const& ids) {
@@ -193,7 +194,7 @@
   return {};
 }
 
-relay::feed_options application::parts::make_feed_options() const {
+relay::feed_options application::components::make_feed_options() const {
   relay::feed_options options;
   options.node = settings_.id;
   options.zone = settings_.zone;
@@ -215,7 +216,7 @@
   return options;
 }
 
-void application::parts::listen_to_records() {
+void application::components::listen_to_records() {
   kv::follower_callbacks on_configuration;
   on_configuration.snapshot = [this](kv::range_answer const& all) {
     for (kv::key_value const& one : all.entries) take_configuration_record(one);
@@ -241,7 +242,7 @@
   feed_.listen(relay::topic::QUARANTINE, quarantine_.listener());
 }
 
-void application::parts::note_progress() {
+void application::components::note_progress() {
   bool const known = configuration_.table() && servers_.is_loaded();
   if (state_ == application_state::starting && known && feed_.is_trusted(boot_clock::now())) {
     state_ = application_state::serving;
@@ -255,16 +256,16 @@
   pools_.notify();
 }
 
-void application::parts::note_ownership() {
+void application::components::note_ownership() {
   feed_.set_owner(pools_.needs_engines());
   operator_requests_.set_owner(pools_.owns_any());
 }
 
-void application::parts::take_configuration_record(kv::key_value const& record) {
+void application::components::take_configuration_record(kv::key_value const& record) {
   if (record.key == adapter_.keys().configuration) take_configuration(record.value);
 }
 
-void application::parts::take_configuration(std::string_view value) {
+void application::components::take_configuration(std::string_view value) {
   std::string fault;
   auto parsed = adapter_.parse_configuration(value, fault);
   if (!parsed) {
@@ -279,13 +280,13 @@
   note_progress();
 }
 
-void application::parts::resynchronize(std::string_view cause) {
+void application::components::resynchronize(std::string_view cause) {
   log_line(log_level::warning, k_part, "Reading all records again.", {{"cause", cause}});
   feed_.resynchronize(cause);
   operator_requests_.resynchronize();
 }
 
-awaitable<void> application::parts::housekeeping_loop() {
+awaitable<void> application::components::housekeeping_loop() {
   time_point last = boot_clock::now();
   while (state_ != application_state::stopped) {
     co_await wait_for(k_housekeeping_interval);
@@ -303,13 +304,13 @@
   }
 }
 
-http::response application::parts::readiness() const {
+http::response application::components::readiness() const {
   bool const ready = state_ == application_state::serving;
   auto const code = ready ? http::status::ok : http::status::service_unavailable;
   return http::make_response(code, ready ? "ready\n" : "not ready\n", "text/plain");
 }
 
-http::response application::parts::metrics_page() {
+http::response application::components::metrics_page() {
   node_readings now;
   now.config_version = configuration_.table() ? configuration_.table()->all().version : 0;
   now.servers = servers_.servers().size();
@@ -346,7 +347,7 @@
   return http::make_response(http::status::ok, metrics_.write(now), k_plain_text);
 }
 
-awaitable<http::response> application::parts::handle_peer(http::request message) {
+awaitable<http::response> application::components::handle_peer(http::request message) {
   std::string_view const target = http::as_view(message.target());
   if (target.starts_with(rpc::k_rpc_prefix)) {
     co_return co_await peer_methods_.handle(std::move(message));
@@ -355,7 +356,7 @@
   co_return http::make_response(http::status::not_found, "", "text/plain");
 }
 
-void application::parts::reload(settings const& all) {
+void application::components::reload(settings const& all) {
   settings_.order_gap = all.order_gap;
   settings_.retention = all.retention;
   settings_.stop_time = all.stop_time;
@@ -365,7 +366,7 @@
   log_line(log_level::info, k_part, "Settings reloaded.", {{"id", all.id}});
 }
 
-awaitable<void> application::parts::stop(std::function<void()> on_stopped) {
+awaitable<void> application::components::stop(std::function<void()> on_stopped) {
   if (state_ == application_state::stopping) co_return;
   state_ = application_state::stopping;
   log_line(log_level::info, k_part, "Planned stop begins.", {{"in_flight", ingress_->in_flight()}});
--- a/src/gateway/application.h
+++ b/src/gateway/application.h
@@ -1,4 +1,4 @@
-/// @file A gateway node: all its parts, wired together; the only place that knows all of them.
+/// @file A gateway node: all its components, wired together; the only place that knows all of them.
 #pragma once
 
 #include <functional>
@@ -30,8 +30,8 @@
   application_state state() const;
 
  private:
-  struct parts;
-  std::unique_ptr<parts> parts_;
+  struct components;
+  std::unique_ptr<components> components_;
 };
 
 }  // namespace frostline::gateway
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-struct node::parts {
-  parts(asio::io_context& context, settings given);
+struct node::components {
+  components(asio::io_context& context, settings given);
 
   std::string start();
   awaitable<void> stop(std::function<void()> on_stopped);
@@ -92,19 +92,19 @@
 };
 
 node::node(asio::io_context& context, settings all)
-    : parts_(std::make_unique<parts>(context, std::move(all))) {}
+    : components_(std::make_unique<components>(context, std::move(all))) {}
 
 node::~node() = default;
 
-std::string node::start() { return parts_->start(); }
+std::string node::start() { return components_->start(); }
 
 void node::stop(std::function<void()> on_stopped) {
-  spawn(parts_->context(), parts_->stop(std::move(on_stopped)));
+  spawn(components_->context(), components_->stop(std::move(on_stopped)));
 }
 
-node_figures node::figures() const { return parts_->figures(); }
+node_figures node::figures() const { return components_->figures(); }
 
-node::parts::parts(asio::io_context& context, settings given)
+node::components::components(asio::io_context& context, settings given)
     : settings_(std::move(given)), context_(context) {
   ownership::identity const self{settings_.id, incarnation_, settings_.zone};
   keeper_ = std::make_unique<ownership::keeper>(context_, kv_, config_, config_sync_, members_,
@@ -129,7 +129,7 @@
       [this](http::request message) { return handle(std::move(message)); });
 }
 
-std::string node::parts::listen() {
+std::string node::components::listen() {
   if (!settings_.data_folder.empty()) {
     auto opened = bulk::store::open(settings_.data_folder);
     if (!opened) return settings_.data_folder + ": " + opened.error().message();
@@ -149,7 +149,7 @@
   return failure;
 }
 
-void node::parts::register_methods() {
+void node::components::register_methods() {
   operators_->register_methods(methods_);
   rollout_->register_methods(methods_);
   methods_.add<rpc::FetchConfigRequestT, rpc::FetchConfigResponseT>(
@@ -159,7 +159,7 @@
       });
 }
 
-std::string node::parts::start() {
+std::string node::components::start() {
   std::string failure = listen();
   if (!failure.empty()) return failure;
   config_sync_.on_change([this] { take_configuration(); });
@@ -178,7 +178,7 @@
   return {};
 }
 
-node_figures node::parts::figures() const {
+node_figures node::components::figures() const {
   node_figures all;
   all.gossip_bytes_sent = gossip_.traffic().bytes_sent;
   all.gossip_bytes_received = gossip_.traffic().bytes_received;
@@ -201,7 +201,7 @@
   return all;
 }
 
-awaitable<http::response> node::parts::handle(http::request message) {
+awaitable<http::response> node::components::handle(http::request message) {
   std::string_view const target = http::as_view(message.target());
   if (target.starts_with(rpc::k_rpc_prefix)) co_return co_await methods_.handle(std::move(message));
   if (target == "/healthz") co_return health();
@@ -210,11 +210,11 @@
   co_return co_await proxy_->handle(std::move(message));
 }
 
-http::response node::parts::health() const {
+http::response node::components::health() const {
   return json_response(http::status::ok, {{"status", "ok"}});
 }
 
-http::response node::parts::readiness() const {
+http::response node::components::readiness() const {
   bool const ready = state_ == node_state::serving && !is_cut_off();
   http::status const code = ready ? http::status::ok : http::status::service_unavailable;
   return json_response(code, {{"ready", ready},
@@ -223,7 +223,7 @@
                               {"config_revision", config_.revision()}});
 }
 
-http::response node::parts::metrics_page() {
+http::response node::components::metrics_page() {
   auto& gauges = prometheus::BuildGauge()
                      .Name("frostline_node")
                      .Help("State of this node, by quantity")
@@ -244,7 +244,7 @@
                              k_plain_text);
 }
 
-bool node::parts::is_cut_off() const {
+bool node::components::is_cut_off() const {
   time_point const now = boot_clock::now();
   if (!members_.knows_other_members()) return false;
   if (config_sync_.kv_age(now) < k_kv_silence) return false;
@@ -253,7 +253,7 @@
   return heard == time_point::min() || now - heard > k_peer_silence;
 }
 
-void node::parts::take_machine_list() {
+void node::components::take_machine_list() {
   time_point const now = boot_clock::now();
   for (auto const& [id, machine] : machines_.machines()) {
     if (machine.leaving) {
@@ -272,7 +272,7 @@
   rollout_->reconcile();
 }
 
-void node::parts::take_configuration() {
+void node::components::take_configuration() {
   for (auto const& [id, drain] : config_.drains()) {
     if (drain.record.leaving) {
       leaving_.mark(id, drain.record.incarnation, routing::leaving_source::operator_drain);
@@ -284,21 +284,21 @@
   rollout_->reconcile();
 }
 
-void node::parts::take_gossiped_leaving() {
+void node::components::take_gossiped_leaving() {
   for (auto const& [back_end, incarnation] : members_.leaving_back_ends()) {
     leaving_.mark(back_end, incarnation, routing::leaving_source::back_end);
   }
 }
 
 /// The machine list may name a node again that gossip has forgotten.
-awaitable<void> node::parts::seed_loop() {
+awaitable<void> node::components::seed_loop() {
   while (state_ != node_state::stopped) {
     co_await wait_for(k_seed_interval);
     take_machine_list();
   }
 }
 
-void node::parts::describe(rpc::GetStatusResponseT& status) {
+void node::components::describe(rpc::GetStatusResponseT& status) {
   take_gossiped_leaving();
   status.kv_reachable = config_sync_.kv_age(boot_clock::now()) < k_kv_silence;
   rollout_->describe(status);
@@ -311,7 +311,7 @@
   }
 }
 
-awaitable<void> node::parts::wait_until_idle(time_point deadline) {
+awaitable<void> node::components::wait_until_idle(time_point deadline) {
   while (boot_clock::now() < deadline) {
     bool const idle = server_->in_flight() == 0 && rollout_->runs_in_flight() == 0;
     if (idle) co_return;
@@ -320,7 +320,7 @@
 }
 
 /// A planned stop: tell, hand over, finish what is in flight, and only then close.
-awaitable<void> node::parts::stop(std::function<void()> on_stopped) {
+awaitable<void> node::components::stop(std::function<void()> on_stopped) {
   if (state_ == node_state::draining) co_return;
   state_ = node_state::draining;
   log_line(log_level::info, k_part, "Planned stop begins.");
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-/// @file One node: all its parts, wired together; the only place that knows all of them.
+/// @file One node: all its components, wired together; the only place that knows all of them.
 #pragma once
 
 #include <functional>
@@ -41,8 +41,8 @@
   node_figures figures() const;
 
  private:
-  struct parts;
-  std::unique_ptr<parts> parts_;
+  struct components;
+  std::unique_ptr<components> components_;
 };
 
 }  // namespace frostline::node
