--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -123,7 +123,7 @@
 }
 
 void forwarder::note_failure(journey& one, exchange const& with, exchange_failure failure) {
-  ++figures_.failed_attempts[static_cast<std::size_t>(failure)];
+  ++counters_.failed_attempts[static_cast<std::size_t>(failure)];
   bool const unsent = failure == exchange_failure::not_connected;
   if (unsent) {
     --one.attempts;
@@ -232,7 +232,7 @@
     std::string const chosen_id = chosen->id;
     one.tried.insert(chosen_id);
     one.server = chosen_id;
-    if (++one.attempts > 1) ++figures_.retries;
+    if (++one.attempts > 1) ++counters_.retries;
     dependencies_.selector.note_sent(chosen->id);
     one.attempt_begun = boot_clock::now();
     auto with = std::make_unique<exchange>(dependencies_.connections, dependencies_.names, *chosen);
@@ -317,15 +317,15 @@
 awaitable<void> forwarder::handle(std::shared_ptr<route_table const> table, route const* by,
                                   http::request message, std::string tenant, time_point deadline,
                                   caller& from) {
-  ++figures_.requests;
+  ++counters_.requests;
   if (!table || !dependencies_.servers.is_loaded()) {
-    ++figures_.given_up;
+    ++counters_.given_up;
     co_await from.answer(give_up_answer(give_up_reason::no_configuration));
     co_return;
   }
   if (by == nullptr) {
     std::string const path(message.target());
-    ++figures_.given_up;
+    ++counters_.given_up;
     log_line(log_level::info, k_part, "No route.",
              {{"request", http::header(message, dependencies_.names.request_id)},
               {"path", path},
@@ -348,16 +348,16 @@
     co_await answer_give_up(one);
     co_return;
   }
-  ++figures_.answered;
+  ++counters_.answered;
   log_outcome(one, outcome.answer.result_int(), "Answered.");
   co_await from.answer(std::move(outcome.answer));
 }
 
 awaitable<void> forwarder::answer_give_up(journey& one) {
   if (one.reason == give_up_reason::caller_left) {
-    ++figures_.callers_left;
+    ++counters_.callers_left;
   } else {
-    ++figures_.given_up;
+    ++counters_.given_up;
   }
   http::response refusal = give_up_answer(one.reason, one.next_try);
   log_outcome(one, refusal.result_int(), "Given up.");
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -31,7 +31,7 @@
   std::string server;
 };
 
-struct call_figures {
+struct call_counters {
   std::uint64_t requests = 0;
   std::uint64_t answered = 0;
   std::uint64_t given_up = 0;
@@ -73,7 +73,7 @@
   awaitable<call_outcome> call(std::shared_ptr<route_table const> table, route const& by,
                                http::request message, time_point deadline, caller* from);
 
-  call_figures const& figures() const { return figures_; }
+  call_counters const& counters() const { return counters_; }
 
  private:
   /// One request on its way through its attempts.
@@ -154,7 +154,7 @@
 
   forwarder_dependencies dependencies_;
   share_picker shares_;
-  call_figures figures_;
+  call_counters counters_;
 };
 
 }  // namespace frostline::calls
--- a/src/calls/forwarder_streams.cc
+++ b/src/calls/forwarder_streams.cc
@@ -75,7 +75,7 @@
   clear_suspicion(one, with);
   dependencies_.selector.note_answer(with.server().id);
   with.finish();
-  ++figures_.answered;
+  ++counters_.answered;
   log_outcome(one, 200, "Streamed.");
   co_await one.from->end();
   co_return true;
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -315,18 +315,18 @@
   now.config_version = configuration_.table() ? configuration_.table()->all().version : 0;
   now.servers = servers_.servers().size();
   now.malformed_servers = server_watch_.malformed();
-  now.calls = forwarder_.figures();
-  now.quarantine = quarantine_.figures();
+  now.calls = forwarder_.counters();
+  now.quarantine = quarantine_.counters();
   now.quarantine_records = quarantine_.records();
   now.connections_opened = connections_.opened();
   now.logs_dropped = dropped_log_lines();
   now.tenants_requests = runs_.total();
   if (duties_) {
-    now.usage = usage_readings{duties_->is_holder(), duties_->reporter().figures(),
+    now.usage = usage_readings{duties_->is_holder(), duties_->reporter().counters(),
                                duties_->reporter().late()};
   }
   now.role = feed_.role();
-  now.records = feed_.figures();
+  now.records = feed_.counters();
   now.polls_answered = feed_.answers().answered();
   now.whole_answers = feed_.answers().whole_answers();
   now.whole_records = feed_.answers().whole_records();
@@ -341,7 +341,7 @@
   for (auto const& [name, one] : pools_.all()) {
     now.pools.push_back({name, one.lease->state() == ownership::lease_state::owner,
                          one.owner->jobs(), one.owner->runner().running(),
-                         one.owner->runner().figures(), one.owner->runner().scoring(),
+                         one.owner->runner().counters(), one.owner->runner().scoring(),
                          one.owner->orders().sent(), one.owner->log().transactions()});
   }
   return http::make_response(http::status::ok, metrics_.write(now), k_plain_text);
--- a/src/gateway/client_calls.cc
+++ b/src/gateway/client_calls.cc
@@ -63,7 +63,7 @@
   if (!told.empty()) deadline = begin + milliseconds(std::strtoll(told.c_str(), nullptr, 10));
   co_await dependencies_.forwarder.handle(table, by, std::move(message), tenant, deadline, from);
   auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
-  dependencies_.figures.note_call(spent);
+  dependencies_.request_metrics.note_call(spent);
 }
 
 awaitable<bool> client_calls::admit_job_call(calls::route_table const* table,
@@ -88,7 +88,7 @@
 awaitable<void> client_calls::refuse_access(calls::credentials verdict,
                                             calls::route_table const& table,
                                             std::string_view request, calls::caller& from) {
-  dependencies_.figures.note_access_refused();
+  dependencies_.request_metrics.note_access_refused();
   log_line(log_level::info, k_part, "Access refused.",
            {{"request", request},
             {"tenant", "unknown"},
@@ -145,7 +145,7 @@
   time_point const deadline = begin + time_to_answer(patience);
   reply = co_await dependencies_.jobs.submit(pool, std::move(request->call), deadline);
   auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
-  dependencies_.figures.note_submission(spent);
+  dependencies_.request_metrics.note_submission(spent);
   log_line(log_level::info, k_part, "Submission answered.",
            {{"job", asked.job},
             {"pool", pool},
--- a/src/gateway/client_calls.h
+++ b/src/gateway/client_calls.h
@@ -22,7 +22,7 @@
   calls::active_configuration const& configuration;
   calls::forwarder& forwarder;
   jobs::job_client& jobs;
-  metrics& figures;
+  metrics& request_metrics;
   /// How old this node's records are, for the log.
   std::function<milliseconds()> records_age;
 };
--- a/src/gateway/metrics.cc
+++ b/src/gateway/metrics.cc
@@ -77,11 +77,11 @@
     page.set("frostline_usage_" + name, help, static_cast<double>(value));
   };
   set("holder", "1 while this node reports usage", usage.is_holder ? 1 : 0);
-  set("windows_closed_total", "windows whose counts were fixed", usage.figures.windows_closed);
-  set("windows_reported_total", "windows whose report was taken", usage.figures.windows_reported);
-  set("reports_failed_total", "reports that were not taken", usage.figures.reports_failed);
-  set("windows_given_up_total", "windows that were never taken", usage.figures.windows_given_up);
-  set("tells_failed_total", "counts that did not reach the holder", usage.figures.calls_failed);
+  set("windows_closed_total", "windows whose counts were fixed", usage.counters.windows_closed);
+  set("windows_reported_total", "windows whose report was taken", usage.counters.windows_reported);
+  set("reports_failed_total", "reports that were not taken", usage.counters.reports_failed);
+  set("windows_given_up_total", "windows that were never taken", usage.counters.windows_given_up);
+  set("tells_failed_total", "counts that did not reach the holder", usage.counters.calls_failed);
   set("late_requests_total", "requests told after their window was closed", usage.late);
 }
 
--- a/src/gateway/metrics.h
+++ b/src/gateway/metrics.h
@@ -23,8 +23,8 @@
   bool owned = false;
   std::size_t jobs = 0;
   std::size_t running = 0;
-  jobs::runner_figures runs;
-  jobs::scorer_figures scoring;
+  jobs::runner_counters runs;
+  jobs::scorer_counters scoring;
   std::uint64_t orders = 0;
   std::uint64_t transactions = 0;
 };
@@ -32,7 +32,7 @@
 struct usage_readings {
   /// Whether this node makes the calls of one node at a time.
   bool is_holder = false;
-  usage::reporter_figures figures;
+  usage::reporter_counters counters;
   /// Requests that were counted too late for their window.
   std::uint64_t late = 0;
 };
@@ -42,13 +42,13 @@
   std::uint64_t config_version = 0;
   std::size_t servers = 0;
   std::uint64_t malformed_servers = 0;
-  calls::call_figures calls;
-  quarantine::quarantine_figures quarantine;
+  calls::call_counters calls;
+  quarantine::quarantine_counters quarantine;
   std::size_t quarantine_records = 0;
   std::uint64_t connections_opened = 0;
   std::uint64_t logs_dropped = 0;
   relay::feed_role role = relay::feed_role::standby;
-  relay::feed_figures records;
+  relay::feed_counters records;
   std::uint64_t polls_answered = 0;
   std::uint64_t whole_answers = 0;
   std::uint64_t whole_records = 0;
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -142,7 +142,7 @@
   run_key const key = dependencies_.table.start(owner, index, engine.server.id, boot_clock::now());
   std::uint64_t const tokens = expected_tokens(*one.spec);
   dependencies_.board.note_started(engine.server.id, tokens, one.spec->group);
-  ++figures_.runs;
+  ++counters_.runs;
   if (isolated) isolating_engines_.insert(engine.server.id);
   log_line(log_level::info, k_part, "Run started.",
            {{"request", one.spec->id},
@@ -387,13 +387,13 @@
             {"fingerprint", tells ? identify(*owner, key.index).to_string() : std::string()},
             {"events", one == nullptr ? 0 : one->events}});
   if (end == run_end::broken) {
-    ++figures_.broken;
+    ++counters_.broken;
     dependencies_.board.note_failure(engine, now);
   }
   if (owner == nullptr || one == nullptr) return;
   switch (end) {
     case run_end::completed:
-      ++figures_.completed;
+      ++counters_.completed;
       if (dependencies_.quarantine.is_watching()) {
         dependencies_.quarantine.note_answer(identify(*owner, key.index));
       }
@@ -405,7 +405,7 @@
       dependencies_.table.requeue(*one, now + k_broken_pause);
       break;
     case run_end::moved:
-      ++figures_.moved;
+      ++counters_.moved;
       dependencies_.table.requeue(*one, now);
       break;
     case run_end::broken:
@@ -415,7 +415,7 @@
       conclude_failure(*owner, key, *one);
       break;
     case run_end::impossible:
-      ++figures_.dead;
+      ++counters_.dead;
       dependencies_.table.give_up(*owner, key.index, now);
       break;
     case run_end::unusable:
@@ -434,7 +434,7 @@
 void sample_runner::conclude_failure(job& owner, run_key const& key, sample& one) {
   time_point const now = boot_clock::now();
   if (++one.failures >= owner.terms.max_attempts) {
-    ++figures_.dead;
+    ++counters_.dead;
     dependencies_.table.give_up(owner, key.index, now);
   } else {
     dependencies_.table.requeue(one, now + k_failed_pause);
--- a/src/jobs/sample_runner.h
+++ b/src/jobs/sample_runner.h
@@ -35,7 +35,7 @@
   std::function<void()> notify;
 };
 
-struct runner_figures {
+struct runner_counters {
   std::uint64_t runs = 0;
   std::uint64_t completed = 0;
   std::uint64_t broken = 0;
@@ -58,8 +58,8 @@
   std::size_t running() const { return runs_.size(); }
   /// Whether a run of this engine must not mix versions.
   bool has_single_version_run(std::string const& engine) const;
-  runner_figures const& figures() const { return figures_; }
-  scorer_figures const& scoring() const { return scorer_.figures(); }
+  runner_counters const& counters() const { return counters_; }
+  scorer_counters const& scoring() const { return scorer_.counters(); }
 
  private:
   /// How a run ended.
@@ -136,7 +136,7 @@
   std::set<quarantine::fingerprint> trials_;
   /// Engines that run an isolated sample.
   std::set<std::string> isolating_engines_;
-  runner_figures figures_;
+  runner_counters counters_;
 };
 
 }  // namespace frostline::jobs
--- a/src/jobs/sample_scorer.cc
+++ b/src/jobs/sample_scorer.cc
@@ -108,14 +108,14 @@
             {"reason", calls::to_string(outcome.reason)},
             {"status", answered ? outcome.answer.result_int() : 0}});
   if (good) {
-    ++figures_.scored;
+    ++counters_.scored;
     dependencies_.table.score(*owner, index, proof, boot_clock::now());
     co_return scoring_step::over;
   }
   if (outcome.reason == calls::give_up_reason::quarantined) co_return scoring_step::later;
   now->scoring_failures += outcome.failed_answers;
   if (now->scoring_failures < most_failures) co_return scoring_step::again;
-  ++figures_.dead;
+  ++counters_.dead;
   dependencies_.table.give_up(*owner, index, boot_clock::now());
   co_return scoring_step::over;
 }
--- a/src/jobs/sample_scorer.h
+++ b/src/jobs/sample_scorer.h
@@ -29,7 +29,7 @@
   std::function<void()> notify;
 };
 
-struct scorer_figures {
+struct scorer_counters {
   std::uint64_t scored = 0;
   /// Samples given up because their scorer failed too often.
   std::uint64_t dead = 0;
@@ -45,7 +45,7 @@
 
   /// Asks the scorer of a sample whose text is whole, as soon as there is room.
   void start(std::string const& job, std::uint32_t index);
-  scorer_figures const& figures() const { return figures_; }
+  scorer_counters const& counters() const { return counters_; }
 
  private:
   struct waiting {
@@ -70,7 +70,7 @@
   std::size_t under_way_ = 0;
   std::size_t limit_ = 0;
   time_point limit_until_ = time_point::min();
-  scorer_figures figures_;
+  scorer_counters counters_;
 };
 
 }  // namespace frostline::jobs
--- a/src/load/hollow.cc
+++ b/src/load/hollow.cc
@@ -91,17 +91,17 @@
   spread ready;
   std::uint64_t serving = 0;
   for (auto const& one : nodes) {
-    node::node_figures const figures = one->figures();
-    gossip_sent.add(figures.gossip_bytes_sent);
-    gossip_received.add(figures.gossip_bytes_received);
-    http_sent.add(figures.http_bytes_sent);
-    http_received.add(figures.http_bytes_received);
-    kv_operations.add(figures.kv_operations);
-    revision.add(figures.config_revision);
-    alive.add(figures.members_alive);
-    controlled.add(figures.engines_controlled);
-    ready.add(figures.engines_ready);
-    if (figures.state == node::node_state::serving) ++serving;
+    node::node_counters const counters = one->counters();
+    gossip_sent.add(counters.gossip_bytes_sent);
+    gossip_received.add(counters.gossip_bytes_received);
+    http_sent.add(counters.http_bytes_sent);
+    http_received.add(counters.http_bytes_received);
+    kv_operations.add(counters.kv_operations);
+    revision.add(counters.config_revision);
+    alive.add(counters.members_alive);
+    controlled.add(counters.engines_controlled);
+    ready.add(counters.engines_ready);
+    if (counters.state == node::node_state::serving) ++serving;
   }
   return {{"nodes", nodes.size()},
           {"serving", serving},
--- a/src/load/hollow.h
+++ b/src/load/hollow.h
@@ -30,7 +30,7 @@
 };
 
 /// Runs nodes until the process is ended. `GET /report` answers the sums, lowest and highest of
-/// their figures, and the CPU time of the thread that runs them. @return exit code.
+/// their counters, and the CPU time of the thread that runs them. @return exit code.
 int run_hollow_nodes(hollow_options const& options);
 
 /// Runs engines until the process is ended. @return exit code.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -46,7 +46,7 @@
 
   std::string start();
   awaitable<void> stop(std::function<void()> on_stopped);
-  node_figures figures() const;
+  node_counters counters() const;
   asio::io_context& context() { return context_; }
 
  private:
@@ -102,7 +102,7 @@
   spawn(components_->context(), components_->stop(std::move(on_stopped)));
 }
 
-node_figures node::figures() const { return components_->figures(); }
+node_counters node::counters() const { return components_->counters(); }
 
 node::components::components(asio::io_context& context, settings given)
     : settings_(std::move(given)), context_(context) {
@@ -178,8 +178,8 @@
   return {};
 }
 
-node_figures node::components::figures() const {
-  node_figures all;
+node_counters node::components::counters() const {
+  node_counters all;
   all.gossip_bytes_sent = gossip_.traffic().bytes_sent;
   all.gossip_bytes_received = gossip_.traffic().bytes_received;
   all.http_bytes_sent = transport_.traffic().sent;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,7 +15,7 @@
 enum class node_state { starting, serving, draining, stopped };
 
 /// What a node has spent on control, and how far it knows the system.
-struct node_figures {
+struct node_counters {
   std::uint64_t gossip_bytes_sent = 0;
   std::uint64_t gossip_bytes_received = 0;
   std::uint64_t http_bytes_sent = 0;
@@ -38,7 +38,7 @@
   std::string start();
   /// A planned stop; `on_stopped` runs at its end.
   void stop(std::function<void()> on_stopped);
-  node_figures figures() const;
+  node_counters counters() const;
 
  private:
   struct components;
--- a/src/quarantine/service.cc
+++ b/src/quarantine/service.cc
@@ -76,7 +76,7 @@
 }
 
 void service::note_refused(fingerprint const& request) {
-  ++figures_.refused;
+  ++counters_.refused;
   quarantine_entry const* const listed = list_.find(request);
   log_line(log_level::info, k_part, "Request refused.",
            {{"fingerprint", request.to_string()},
@@ -88,7 +88,7 @@
 
 void service::note_crashes(std::vector<crash> const& crashes) {
   for (crash const& one : crashes) {
-    ++figures_.crashes;
+    ++counters_.crashes;
     suspicion const& seen = seen_here_.note(one);
     log_line(log_level::info, k_part, "Server ended under a request.",
              {{"fingerprint", one.request.to_string()},
@@ -185,7 +185,7 @@
   std::size_t const servers = entry.servers.size();
   bool const written = co_await apply(std::move(entry), std::move(put));
   if (!written) co_return;
-  ++figures_.written;
+  ++counters_.written;
   log_line(log_level::warning, k_part,
            is_suspicion ? "Suspicion of a request recorded." : "Request put under quarantine.",
            {{"fingerprint", request.to_string()}, {"servers", servers}});
@@ -236,7 +236,7 @@
            {{"fingerprint", request.to_string()},
             {"number", number},
             {"granted", claimed ? "yes" : "no"}});
-  if (claimed) ++figures_.trials;
+  if (claimed) ++counters_.trials;
   co_return claimed;
 }
 
@@ -257,7 +257,7 @@
   // Of many nodes that have answered it, most hear that one of them was faster.
   co_await wait_for(with_jitter(2 * k_take_back_spread) - k_take_back_spread);
   bool const removed = co_await remove_while(request, [](quarantine_entry const&) { return true; });
-  if (removed) ++figures_.taken_back;
+  if (removed) ++counters_.taken_back;
   taking_back_.erase(request);
 }
 
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -58,7 +58,7 @@
 };
 
 /// What the service counts, since the process began.
-struct quarantine_figures {
+struct quarantine_counters {
   /// Requests of this node under which a server ended.
   std::uint64_t crashes = 0;
   std::uint64_t refused = 0;
@@ -120,7 +120,7 @@
   /// A server answered the request.
   void note_answer(fingerprint const& request);
 
-  quarantine_figures const& figures() const { return figures_; }
+  quarantine_counters const& counters() const { return counters_; }
   std::size_t records() const { return list_.size(); }
 
  private:
@@ -207,7 +207,7 @@
   std::set<fingerprint> taking_back_;
   std::set<fingerprint> claiming_;
   std::set<endpoint> reporting_to_;
-  quarantine_figures figures_;
+  quarantine_counters counters_;
 };
 
 }  // namespace frostline::quarantine
--- a/src/relay/record_feed.cc
+++ b/src/relay/record_feed.cc
@@ -216,7 +216,7 @@
             {"before", to_text(role_)},
             {"cause", cause},
             {"record", relays_.revision_of(options_.zone)}});
-  if (role == feed_role::direct) ++figures_.turns_to_store;
+  if (role == feed_role::direct) ++counters_.turns_to_store;
   role_ = role;
   follow_topics();
   role_changed_.notify_all();
@@ -249,10 +249,10 @@
     co_await role_changed_.wait_until(now + with_jitter(k_fruitless_pause));
     co_return;
   }
-  auto const before = figures_.polls_not_sure + figures_.polls_failed;
+  auto const before = counters_.polls_not_sure + counters_.polls_failed;
   std::uint64_t const changes = views_.changes();
   note_result(*peer, co_await ask(*peer));
-  bool const fruitless = figures_.polls_not_sure + figures_.polls_failed > before;
+  bool const fruitless = counters_.polls_not_sure + counters_.polls_failed > before;
   fruitless_polls_ = fruitless ? fruitless_polls_ + 1 : 0;
   if (fruitless_polls_ >= k_quick_tries) {
     co_await wait_for(with_jitter(k_fruitless_pause));
@@ -267,7 +267,7 @@
   asked_back_at_ = now;
   poll_request request = make_request();
   request.answer_margin = k_first_margin;
-  ++figures_.polls_sent;
+  ++counters_.polls_sent;
   co_await poll_peer(transport_, std::move(peer), std::move(request), views_);
 }
 
@@ -298,7 +298,7 @@
   request.wait = known || (loading && !is_seed()) ? k_wait : milliseconds(0);
   request.answer_margin = known ? k_margin : k_first_margin;
   if (loading) request.answer_margin = k_loading_margin;
-  ++figures_.polls_sent;
+  ++counters_.polls_sent;
   co_return co_await poll_peer(transport_, peer, std::move(request), views_);
 }
 
@@ -321,10 +321,10 @@
     return;
   }
   if (result.outcome == poll_outcome::failed) {
-    ++figures_.polls_failed;
+    ++counters_.polls_failed;
     picker_.note_failure(peer, now);
   } else {
-    ++figures_.polls_not_sure;
+    ++counters_.polls_not_sure;
     picker_.note_doubt(peer, now);
   }
   if (serving_peer_ == peer) {
@@ -419,7 +419,7 @@
   auto const reachable = co_await store_.probe(k_claim_timeout);
   bool const overtaken = relays_.revision_of(options_.zone) != replaced;
   if (!reachable || overtaken || leaving_) co_return;
-  ++figures_.claims;
+  ++counters_.claims;
   bool const answered = co_await record_.claim(replaced);
   if (answered) note_relays();
 }
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -55,7 +55,7 @@
 };
 
 /// What the feed counts, since the process began.
-struct feed_figures {
+struct feed_counters {
   std::uint64_t polls_sent = 0;
   std::uint64_t polls_failed = 0;
   std::uint64_t polls_not_sure = 0;
@@ -98,7 +98,7 @@
   /// Relays of some zones, in the order of the zones' names: the same at all nodes that know the
   /// same records.
   std::vector<endpoint> relay_addresses(std::size_t most) const;
-  feed_figures const& figures() const { return figures_; }
+  feed_counters const& counters() const { return counters_; }
   poll_service const& answers() const { return service_; }
   record_view const& view(topic one) const { return views_.view(one); }
   /// Whether a node of its zone asks this one and could follow it as relay.
@@ -181,7 +181,7 @@
   async_condition role_changed_;
   std::function<void()> store_back_;
   feed_role role_ = feed_role::standby;
-  feed_figures figures_;
+  feed_counters counters_;
   bool owner_ = false;
   /// This node stops: others should not rely on it.
   bool leaving_ = false;
--- a/src/relay/record_feed_servers.cc
+++ b/src/relay/record_feed_servers.cc
@@ -127,7 +127,7 @@
   request.takes_servers = [this] { return !owner_; };
   request.wait = k_wait;
   request.answer_margin = k_margin;
-  ++figures_.polls_sent;
+  ++counters_.polls_sent;
   auto const result = co_await poll_peer(transport_, owner, std::move(request), views_);
   bool const sure = result.outcome == poll_outcome::sure;
   if (sure) {
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -135,7 +135,7 @@
   telling_ = false;
   told_at_ = boot_clock::now();
   if (!failure.empty()) {
-    ++figures_.calls_failed;
+    ++counters_.calls_failed;
     log_line(log_level::info, k_part, "The holder did not take this node's counts.",
              {{"holder", holder->node}, {"epoch", holder->epoch}, {"error", failure}});
   }
@@ -200,7 +200,7 @@
 void usage_reporter::close_windows(time_point now) {
   if (now - loaded_at_ < k_hearing_time) return;
   for (closed_window const& one : ledger_.close_due(now)) {
-    ++figures_.windows_closed;
+    ++counters_.windows_closed;
     log_line(log_level::info, k_part, "Usage of a window is closed.",
              {{"window", one.window},
               {"requests", one.requests},
@@ -278,7 +278,7 @@
     if (leaving_ || state_ != holder_state::active || !dependencies_.lease.may_order(begin))
       co_return;
     if (is_given_up(window, begin)) {
-      ++figures_.windows_given_up;
+      ++counters_.windows_given_up;
       log_line(log_level::error, k_part, "Report of usage given up.",
                {{"window", window}, {"requests", requests_of(found->second)}});
       ledger_.note_reported(window);
@@ -297,11 +297,11 @@
               {"fence", epoch_},
               {"after_ms", spent.count()}});
     if (!accepted) {
-      ++figures_.reports_failed;
+      ++counters_.reports_failed;
       co_await wait_for(k_retry_pause);
       co_return;
     }
-    ++figures_.windows_reported;
+    ++counters_.windows_reported;
     ledger_.note_reported(window);
   }
 }
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -31,7 +31,7 @@
   ledger_options options;
 };
 
-struct reporter_figures {
+struct reporter_counters {
   std::uint64_t windows_closed = 0;
   std::uint64_t windows_reported = 0;
   std::uint64_t reports_failed = 0;
@@ -55,7 +55,7 @@
   awaitable<void> finish(time_point deadline);
 
   holder_state state() const { return state_; }
-  reporter_figures const& figures() const { return figures_; }
+  reporter_counters const& counters() const { return counters_; }
   std::uint64_t late() const { return ledger_.late(); }
 
   /// Key of the stored state.
@@ -94,7 +94,7 @@
   bool telling_ = false;
   bool storing_ = false;
   bool leaving_ = false;
-  reporter_figures figures_;
+  reporter_counters counters_;
 };
 
 }  // namespace frostline::usage
--- a/tests/unit/quarantine/quarantine_service_test.cc
+++ b/tests/unit/quarantine/quarantine_service_test.cc
@@ -231,7 +231,7 @@
   record_suspicion();
   for (char const* server : {"zero", "one", "two", "three"}) see_server_end(server, deadly);
   see_server_end("three", request);
-  CHECK(run_until([&] { return collector.figures().written == 2; }));
+  CHECK(run_until([&] { return collector.counters().written == 2; }));
   CHECK(run_until([&] { return collector.records() == 1; }));
   time_point const later = boot_clock::now() + seconds(1);
   CHECK(collector.check(request, later) == verdict::allowed);
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -257,7 +257,7 @@
 TEST(record_feed_test, stopped_relay_names_who_follows_it_before_anybody_claims) {
   start_two_zones();
   std::uint64_t claims = 0;
-  for (auto const& node : nodes) claims += node->feed->figures().claims;
+  for (auto const& node : nodes) claims += node->feed->counters().claims;
   for (int stop = 0; stop < 2; ++stop) {
     test_node& stopped = *relay_of("a");
     // One that was named a moment ago has not been asked by anybody: it frees its record.
@@ -267,7 +267,7 @@
     shared.put_now(k_configuration, std::to_string(2 + stop));
     CHECK(all_have(std::to_string(2 + stop)));
   }
-  for (auto const& node : nodes) claims -= node->feed->figures().claims;
+  for (auto const& node : nodes) claims -= node->feed->counters().claims;
   LONGS_EQUAL(0, claims);
 }
 
@@ -281,7 +281,7 @@
   for (std::size_t index = 0; index < nodes.size(); ++index) {
     if (nodes[index]->feed->role() == feed_role::relay) continue;
     LONGS_EQUAL(before[index], calls_of(*nodes[index]));
-    LONGS_EQUAL(0, nodes[index]->feed->figures().turns_to_store);
+    LONGS_EQUAL(0, nodes[index]->feed->counters().turns_to_store);
   }
   auto const relays = shared.list_now(zone_relays::records_prefix());
   shared.set_down(false);
@@ -289,7 +289,7 @@
   CHECK(all_have("2"));
   for (kv::key_value const& one : relays)
     LONGS_EQUAL(one.mod_revision, shared.revision_of(one.key));
-  for (auto const& node : nodes) CHECK(node->feed->figures().claims <= 1);
+  for (auto const& node : nodes) CHECK(node->feed->counters().claims <= 1);
 }
 
 TEST(record_feed_test, relay_tells_that_the_store_is_back) {
@@ -469,7 +469,7 @@
   for (test_node* one : late) {
     LONGS_EQUAL(1, one->store.lists());
     LONGS_EQUAL(0, one->store.watches());
-    LONGS_EQUAL(0, one->feed->figures().turns_to_store);
+    LONGS_EQUAL(0, one->feed->counters().turns_to_store);
   }
 }
 
