--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -22,9 +22,9 @@
 namespace {
 
 constexpr std::string_view k_part = "gateway";
-/// Handicap of a weak node when it claims its zone's record, as a multiple of that for a pool: a
+/// Delay before a weak node claims its zone's record, as a multiple of that for a pool: a
 /// zone without a relay is served by other zones' relays, so there is time.
-constexpr int k_relay_handicap_factor = 4;
+constexpr int k_relay_claim_delay_factor = 4;
 /// A loop that did not turn for that long stood still: what it believes may be old.
 constexpr milliseconds k_standstill{1200};
 constexpr milliseconds k_housekeeping_interval{250};
@@ -211,8 +211,8 @@
     return configuration_.table()->services_of_calls();
   };
   options.processor_share = settings_.processor_share;
-  options.claim_handicap =
-      ownership::handicap_of(settings_.processor_share) * k_relay_handicap_factor;
+  options.claim_delay =
+      ownership::claim_delay_of(settings_.processor_share) * k_relay_claim_delay_factor;
   return options;
 }
 
--- a/src/gateway/duties.cc
+++ b/src/gateway/duties.cc
@@ -18,7 +18,7 @@
   ownership::owner_lease_options options;
   options.node = own.id;
   options.address = own.peers;
-  options.handicap = ownership::handicap_of(own.processor_share);
+  options.claim_delay = ownership::claim_delay_of(own.processor_share);
   options.time_to_live = std::max(options.time_to_live, own.store_limits.shortest_lease);
   return options;
 }
--- a/src/gateway/pools.cc
+++ b/src/gateway/pools.cc
@@ -11,7 +11,7 @@
   ownership::owner_lease_options options;
   options.node = own.id;
   options.address = own.peers;
-  options.handicap = ownership::handicap_of(own.processor_share);
+  options.claim_delay = ownership::claim_delay_of(own.processor_share);
   options.time_to_live = std::max(options.time_to_live, own.store_limits.shortest_lease);
   one.lease = std::make_unique<ownership::owner_lease>(
       dependencies_.context, dependencies_.adapter.store(), name, std::move(options));
--- a/src/ownership/owner_lease.cc
+++ b/src/ownership/owner_lease.cc
@@ -20,8 +20,8 @@
 constexpr milliseconds k_retry_pause{200};
 /// A node with this share of a core or more is as good an owner as any.
 constexpr double k_strong_share = 0.5;
-/// Longest handicap: above the first delay's spread over a few strong nodes.
-constexpr milliseconds k_longest_handicap{250};
+/// Longest claim delay: above the first delay's spread over a few strong nodes.
+constexpr milliseconds k_max_claim_delay{250};
 constexpr milliseconds k_transaction_timeout{1500};
 constexpr milliseconds k_orderer_timeout{400};
 /// An order is given up by its sender, and its connection closed, within this time (0.8 s, the
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-milliseconds handicap_of(double processor_share) {
+milliseconds claim_delay_of(double processor_share) {
   double const strength = std::clamp(processor_share / k_strong_share, 0.0, 1.0);
-  auto const longest = static_cast<double>(k_longest_handicap.count());
+  auto const longest = static_cast<double>(k_max_claim_delay.count());
   return milliseconds(static_cast<std::int64_t>(longest * (1.0 - strength)));
 }
 
@@ -210,8 +210,8 @@
 milliseconds owner_lease::delay_before_asking() const {
   if (last_owner_ == options_.node || ordered_last()) return k_return_delay;
   // Progress can be offered to whoever follows; a weak processor can't be made up for.
-  if (preferred_) return k_return_delay + options_.handicap;
-  return k_first_delay + with_jitter(k_delay_spread) + options_.handicap;
+  if (preferred_) return k_return_delay + options_.claim_delay;
+  return k_first_delay + with_jitter(k_delay_spread) + options_.claim_delay;
 }
 
 awaitable<void> owner_lease::compete() {
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -44,7 +44,7 @@
   /// The lease counts as over this long before the store would end it.
   milliseconds safety_margin{150};
   /// Asks for a free resource that much later than the strongest node.
-  milliseconds handicap{0};
+  milliseconds claim_delay{0};
 };
 
 /// Resources whose names begin so are the system's duties towards its platform; all others are
@@ -52,7 +52,7 @@
 inline constexpr std::string_view k_duties_prefix = "duties/";
 
 /// How much later than the strongest node one with this share of a core asks for a free resource.
-milliseconds handicap_of(double processor_share);
+milliseconds claim_delay_of(double processor_share);
 
 /// Candidate for, or owner of, one resource. Orders stand for whatever only one node at a time may
 /// send to others.
--- a/src/relay/claim_timer.cc
+++ b/src/relay/claim_timer.cc
@@ -15,7 +15,7 @@
   bool const replaces = health.record != 0;
   if (!due_ || health.record != record_) {
     record_ = health.record;
-    due_ = now + random_part() + options_.handicap;
+    due_ = now + random_part() + options_.claim_delay;
     if (replaces) *due_ += options_.patience;
   }
   bool const isolated = replaces && !health.others_serve;
--- a/src/relay/claim_timer.h
+++ b/src/relay/claim_timer.h
@@ -19,7 +19,7 @@
   /// first claim (two calls, tens of milliseconds) before most of the others come.
   milliseconds spread{1200};
   /// A weak node claims that much later than the strongest.
-  milliseconds handicap{0};
+  milliseconds claim_delay{0};
   /// In addition when no relay at all answers: it may be this node that is cut off.
   milliseconds isolation_patience{3000};
   /// After a claim in vain.
--- a/src/relay/record_feed.cc
+++ b/src/relay/record_feed.cc
@@ -99,7 +99,7 @@
 
 claim_options record_feed::make_claim_options() const {
   claim_options claims;
-  claims.handicap = options_.claim_handicap;
+  claims.claim_delay = options_.claim_delay;
   // The others ask the seeds while the whole system starts.
   if (is_seed()) claims.spread = k_seed_claim_spread;
   return claims;
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -51,7 +51,7 @@
   /// Share of a core that this node may use.
   double processor_share = 0;
   /// A weak node claims its zone's record that much later.
-  milliseconds claim_handicap{0};
+  milliseconds claim_delay{0};
 };
 
 /// What the feed counts, since the process began.
--- a/tests/unit/ownership/owner_lease_test.cc
+++ b/tests/unit/ownership/owner_lease_test.cc
@@ -270,11 +270,11 @@
 }
 
 TEST(owner_lease_test, weak_node_asks_for_a_free_pool_after_the_strong_ones) {
-  LONGS_EQUAL(0, handicap_of(0.5).count());
-  LONGS_EQUAL(0, handicap_of(4).count());
-  CHECK(handicap_of(0.12) > handicap_of(0.25));
+  LONGS_EQUAL(0, claim_delay_of(0.5).count());
+  LONGS_EQUAL(0, claim_delay_of(4).count());
+  CHECK(claim_delay_of(0.12) > claim_delay_of(0.25));
   owner_lease_options options = options_of("weak");
-  options.handicap = milliseconds(2000);
+  options.claim_delay = milliseconds(2000);
   owner_lease weak{context, store, "pool", options};
   int weak_gained = 0;
   weak.on_change([&] { ++weak_gained; }, [] {});
--- a/tests/unit/relay/claim_timer_test.cc
+++ b/tests/unit/relay/claim_timer_test.cc
@@ -84,7 +84,7 @@
 }
 
 TEST(claim_timer_test, weak_node_claims_after_the_strong_ones) {
-  options.handicap = options.spread + milliseconds(100);
+  options.claim_delay = options.spread + milliseconds(100);
   claim_timer weak(options, 1);
   claim_timer strong(claim_options(), 2);
   CHECK(due_after(weak, failing(7)) > due_after(strong, failing(7)));
