--- a/src/jobs/job_client.h
+++ b/src/jobs/job_client.h
@@ -1,5 +1,5 @@
-/// @file Calls of submitters on any node: finds the pool's owner and asks again while ownership
-/// moves.
+/// @file Client side of the job service, on any node: routes a call to the pool's owner and retries
+/// while ownership moves.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace frostline::jobs {
 
-/// What a node runs for one pool.
+/// Per-pool state of a node.
 struct pool {
   std::unique_ptr<ownership::owner_lease> lease;
   std::unique_ptr<pool_owner> owner;
@@ -24,13 +24,13 @@
 
 using pool_map = std::map<std::string, pool>;
 
-/// What a node says of itself to the owners that it asks.
+/// How a node describes itself to the owners that it calls.
 struct calling_node {
   std::string id;
-  /// Where other nodes reach it.
+  /// Address at which other nodes reach this node.
   std::string address;
   std::string zone;
-  /// Share of a core that it may use.
+  /// Share of a core that the node may use.
   double processor_share = 0;
 };
 
@@ -44,21 +44,23 @@
         pools_(pools),
         node_(std::move(node)) {}
 
-  /// Hands a job to the owner of `pool_name`.
+  /// Submits a job to the owner of `pool_name`.
   awaitable<rpc::JobReplyT> submit(std::string pool_name, rpc::JobCallT call, time_point deadline);
-  /// Asks the owners of all pools, since a job's identifier does not tell its pool.
+  /// Calls the owners of all pools in turn, since a job's identifier does not contain its pool.
   awaitable<rpc::JobReplyT> ask(rpc::JobCallT call, time_point deadline);
 
  private:
-  /// Asks one owner until it answers for certain, or `deadline`.
-  awaitable<rpc::JobReplyT> ask_pool(pool& one, rpc::JobCallT const& call, time_point deadline);
-  awaitable<rpc::JobReplyT> ask_remote(endpoint where, rpc::JobCallT const& call,
+  /// Calls the pool's owner until it gives a definite answer or `deadline` passes.
+  awaitable<rpc::JobReplyT> call_owner(pool& target, rpc::JobCallT const& call,
                                        time_point deadline);
+  awaitable<rpc::JobReplyT> call_remote_owner(endpoint where, rpc::JobCallT const& call,
+                                              time_point deadline);
 
   void describe_self(rpc::JobCallT& call) const;
-  /// The owner left the reading to this node.
-  /// @param told the owner's answer: how many items there are, and results at least.
-  awaitable<rpc::JobReplyT> read_stored(std::string pool, rpc::JobCallT call, rpc::JobReplyT told);
+  /// Reads results from the record store when the owner delegates the read to this node.
+  /// @param owner_reply holds the number of items and a lower bound of the number of results.
+  awaitable<rpc::JobReplyT> read_stored(std::string pool, rpc::JobCallT call,
+                                        rpc::JobReplyT owner_reply);
 
   asio::io_context& context_;
   http::client& transport_;
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -6,122 +6,124 @@
 namespace frostline::jobs {
 namespace {
 
-/// Results that complete nothing are committed together, at most that late.
+/// Results that don't complete the job or its desired groups are committed in batches, at most this
+/// late.
 constexpr milliseconds k_commit_interval{900};
-/// Guesses of a run's length are right in the median; its mean is higher.
-constexpr std::uint64_t k_hint_margin = 2;
+/// Length hints match the median length; the mean is higher.
+constexpr std::uint64_t k_length_hint_factor = 2;
 
 rpc::SampleResultT copy_result(rpc::SampleResultT const& from) { return from; }
 
-/// The text so far, wherever the sample's state keeps it.
-std::string const& text_of(sample const& one) {
-  bool const moved = one.state == sample_state::scoring || one.state == sample_state::finished;
-  return moved ? one.result.text : one.text;
+/// The sample's text, which moves to the result once it is complete.
+std::string const& text_of(sample_entry const& sample) {
+  bool const moved =
+      sample.state == sample_state::scoring || sample.state == sample_state::finished;
+  return moved ? sample.result.text : sample.text;
 }
 
-bool has_news(sample const& one, sent_progress const& sent) {
-  if (one.state == sample_state::listed) return false;
-  if (one.state == sample_state::finished && !sent.result) return true;
-  return one.events != sent.events;
+bool has_unsent_progress(sample_entry const& sample, sent_progress const& sent) {
+  if (sample.state == sample_state::listed) return false;
+  if (sample.state == sample_state::finished && !sent.result) return true;
+  return sample.events != sent.events;
 }
 
-rpc::SampleProgressT report_progress(std::string const& job, std::uint32_t index, sample const& one,
-                                     sent_progress& sent) {
-  std::string const& text = text_of(one);
+rpc::SampleProgressT make_progress_report(std::string const& job, std::uint32_t index,
+                                          sample_entry const& sample, sent_progress& sent) {
+  std::string const& text = text_of(sample);
   rpc::SampleProgressT report;
   report.job = job;
   report.index = index;
-  report.generation = one.generation;
+  report.generation = sample.generation;
   report.from_bytes = sent.bytes;
   report.text = text.substr(report.from_bytes);
-  report.events = one.events;
-  report.has_last_event = one.last_event.has_value();
-  report.last_event = one.last_event.value_or(0);
-  report.versions = one.versions;
+  report.events = sample.events;
+  report.has_last_event = sample.last_event.has_value();
+  report.last_event = sample.last_event.value_or(0);
+  report.versions = sample.versions;
   sent.bytes = text.size();
-  sent.events = one.events;
-  if (one.state != sample_state::finished) return report;
-  // The text has been sent; the result needs the rest only.
-  report.result = std::make_unique<rpc::SampleResultT>(one.result);
+  sent.events = sample.events;
+  if (sample.state != sample_state::finished) return report;
+  // The text is sent in the report's own field.
+  report.result = std::make_unique<rpc::SampleResultT>(sample.result);
   report.result->text.clear();
   sent.result = true;
   return report;
 }
 
-/// Whether a restart would cost this sample much.
-bool is_worth_a_checkpoint(sample const& one, time_point now, milliseconds age) {
-  bool const open = one.state == sample_state::waiting || one.state == sample_state::running ||
-                    one.state == sample_state::scoring;
-  return open && one.events > 0 && now - one.begun_at >= age;
+/// Returns true if rerunning the sample would be expensive.
+bool needs_checkpoint(sample_entry const& sample, time_point now, milliseconds age) {
+  bool const open = sample.state == sample_state::waiting ||
+                    sample.state == sample_state::running || sample.state == sample_state::scoring;
+  return open && sample.events > 0 && now - sample.first_event_at >= age;
 }
 
 }  // namespace
 
-std::optional<sample_times> times_of_last_sample(job const& owner) {
+std::optional<sample_times> last_sample_times(job_entry const& job) {
   std::optional<std::uint32_t> last;
-  for (std::uint32_t index : owner.listed) {
-    sample const& one = owner.samples[index];
-    if (!one.started_at || one.text_at < *one.started_at) continue;
-    if (!last || one.finished_at > owner.samples[*last].finished_at) last = index;
+  for (std::uint32_t index : job.listed) {
+    sample_entry const& sample = job.samples[index];
+    if (!sample.started_at || sample.text_completed_at < *sample.started_at) continue;
+    if (!last || sample.finished_at > job.samples[*last].finished_at) last = index;
   }
   if (!last) return std::nullopt;
-  sample const& one = owner.samples[*last];
+  sample_entry const& sample = job.samples[*last];
   auto const between = [](time_point from, time_point to) {
     return std::chrono::duration_cast<milliseconds>(to - from);
   };
   sample_times times;
   times.index = *last;
-  times.waited = between(owner.accepted_at, *one.started_at);
-  times.ran = between(*one.started_at, one.text_at);
-  times.scored = between(one.text_at, one.finished_at);
+  times.waited = between(job.accepted_at, *sample.started_at);
+  times.ran = between(*sample.started_at, sample.text_completed_at);
+  times.scored = between(sample.text_completed_at, sample.finished_at);
   return times;
 }
 
 std::uint64_t expected_tokens(rpc::JobItemT const& item) {
   if (item.length_hint == 0 || item.generated_limit == 0) return item.tokens;
   std::uint64_t const limit = std::min(item.generated_limit, item.tokens);
-  return item.tokens - limit + std::min(limit, item.length_hint * k_hint_margin);
+  return item.tokens - limit + std::min(limit, item.length_hint * k_length_hint_factor);
 }
 
-quarantine::fingerprint const& identify(job& owner, std::uint32_t index) {
-  sample& one = owner.samples[index];
-  if (one.identity) return *one.identity;
-  rpc::JobItemT const& item = *one.spec;
+quarantine::fingerprint const& fingerprint_of(job_entry& job, std::uint32_t index) {
+  sample_entry& sample = job.samples[index];
+  if (sample.cached_fingerprint) return *sample.cached_fingerprint;
+  rpc::JobItemT const& item = *sample.spec;
   quarantine::request_parts parts;
-  parts.caller = owner.record.tenant;
-  parts.host = owner.record.host;
+  parts.caller = job.record.tenant;
+  parts.host = job.record.host;
   parts.method = "POST";
   parts.target = item.path;
   parts.body = std::string_view(reinterpret_cast<char const*>(item.body.data()), item.body.size());
-  one.identity = quarantine::fingerprint::of(parts);
-  return *one.identity;
+  sample.cached_fingerprint = quarantine::fingerprint::of(parts);
+  return *sample.cached_fingerprint;
 }
 
-void sample::drop_text() {
+void sample_entry::drop_text() {
   text.clear();
   ++generation;
   replicated = {};
   stored = {};
 }
 
-std::uint64_t tokens_of(rpc::JobRecordT const& record) {
+std::uint64_t total_tokens(rpc::JobRecordT const& record) {
   std::uint64_t tokens = 0;
   for (auto const& item : record.items) tokens += item->tokens;
   return tokens;
 }
 
 bool job_table::add(rpc::JobRecordT record, time_point now) {
-  auto& held = jobs_[record.id];
-  if (held) return false;
-  held = std::make_unique<job>();
-  held->record = std::move(record);
-  held->accepted_at = now;
-  held->sequence = next_sequence_++;
-  held->samples.resize(held->record.items.size());
-  for (std::size_t index = 0; index < held->samples.size(); ++index) {
-    sample& one = held->samples[index];
-    one.spec = held->record.items[index].get();
-    one.comes_again = left_over_.erase(one.spec->id) > 0;
+  auto& job = jobs_[record.id];
+  if (job) return false;
+  job = std::make_unique<job_entry>();
+  job->record = std::move(record);
+  job->accepted_at = now;
+  job->sequence = next_sequence_++;
+  job->samples.resize(job->record.items.size());
+  for (std::size_t index = 0; index < job->samples.size(); ++index) {
+    sample_entry& sample = job->samples[index];
+    sample.spec = job->record.items[index].get();
+    sample.resubmitted = unfinished_items_.erase(sample.spec->id) > 0;
   }
   return true;
 }
@@ -133,84 +135,85 @@
   return true;
 }
 
-void job_table::note_recorded(std::string const& id) {
-  job* const held = find(id);
-  if (held != nullptr) held->recorded = true;
+void job_table::mark_recorded(std::string const& id) {
+  job_entry* const job = find(id);
+  if (job != nullptr) job->recorded = true;
 }
 
-std::vector<std::string> job_table::unrecorded(time_point before) const {
+std::vector<std::string> job_table::unrecorded_jobs(time_point before) const {
   std::vector<std::string> ids;
-  for (auto const& [id, held] : jobs_) {
-    if (!held->recorded && held->accepted_at <= before) ids.push_back(id);
+  for (auto const& [id, job] : jobs_) {
+    if (!job->recorded && job->accepted_at <= before) ids.push_back(id);
   }
   return ids;
 }
 
 void job_table::forget(std::string const& id) {
-  std::erase_if(left_over_, [&](auto const& entry) { return entry.second == id; });
+  std::erase_if(unfinished_items_, [&](auto const& entry) { return entry.second == id; });
   jobs_.erase(id);
 }
 
-job* job_table::find(std::string const& id) {
+job_entry* job_table::find(std::string const& id) {
   auto const found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void job_table::restore(rpc::ResultBatchT batch) {
-  job* const owner = find(batch.job);
-  if (owner == nullptr || batch.first > owner->listed.size()) return;
-  std::size_t const known = owner->listed.size() - batch.first;
+void job_table::restore_results(rpc::ResultBatchT batch) {
+  job_entry* const job = find(batch.job);
+  if (job == nullptr || batch.first > job->listed.size()) return;
+  std::size_t const known = job->listed.size() - batch.first;
   for (std::size_t place = known; place < batch.results.size(); ++place) {
     rpc::SampleResultT& result = *batch.results[place];
-    for (std::uint32_t index = 0; index < owner->samples.size(); ++index) {
-      sample& one = owner->samples[index];
-      if (one.spec->id != result.id || one.state == sample_state::listed) continue;
-      one.state = sample_state::listed;
-      ++one.attempt;
-      one.text.clear();
-      one.result = std::move(result);
-      owner->listed.push_back(index);
-      std::erase(owner->unlisted, index);
+    for (std::uint32_t index = 0; index < job->samples.size(); ++index) {
+      sample_entry& sample = job->samples[index];
+      if (sample.spec->id != result.id || sample.state == sample_state::listed) continue;
+      sample.state = sample_state::listed;
+      ++sample.attempt;
+      sample.text.clear();
+      sample.result = std::move(result);
+      job->listed.push_back(index);
+      std::erase(job->unlisted, index);
       break;
     }
   }
 }
 
 bool job_table::end(std::string const& id) {
-  job* const owner = find(id);
-  if (owner == nullptr) return false;
-  if (owner->ended) return true;
-  owner->ended = true;
-  for (sample& one : owner->samples) {
-    ++one.attempt;
-    if (one.state == sample_state::listed) continue;
-    one.text.clear();
-    left_over_[one.spec->id] = id;
+  job_entry* const job = find(id);
+  if (job == nullptr) return false;
+  if (job->ended) return true;
+  job->ended = true;
+  for (sample_entry& sample : job->samples) {
+    ++sample.attempt;
+    if (sample.state == sample_state::listed) continue;
+    sample.text.clear();
+    unfinished_items_[sample.spec->id] = id;
   }
-  // What a commit under way holds may be stored and shown already.
-  owner->unlisted.resize(std::min(owner->committing, owner->unlisted.size()));
+  // An in-flight commit may have stored its results already.
+  job->unlisted.resize(std::min(job->committing, job->unlisted.size()));
   return true;
 }
 
 std::vector<run_candidate> job_table::runnable(time_point now) {
   std::vector<run_candidate> all;
-  for (auto const& [id, owner] : jobs_) {
-    if (!owner->is_open()) continue;
-    for (std::uint32_t index = 0; index < owner->samples.size(); ++index) {
-      sample const& one = owner->samples[index];
-      if (one.state != sample_state::waiting || one.not_before > now) continue;
-      all.push_back({owner.get(), index});
+  for (auto const& [id, job] : jobs_) {
+    if (!job->is_open()) continue;
+    for (std::uint32_t index = 0; index < job->samples.size(); ++index) {
+      sample_entry const& sample = job->samples[index];
+      if (sample.state != sample_state::waiting || sample.not_before > now) continue;
+      all.push_back({job.get(), index});
     }
   }
-  auto const rank = [](run_candidate const& one) {
-    sample const& which = one.owner->samples[one.index];
-    // What has begun is nearest to its end and is waited for already; what comes again is long and
-    // can't be done without.
-    bool const fresh = which.events == 0;
-    bool const needless = fresh && !which.comes_again;
-    job_terms const& terms = one.owner->terms;
-    return std::tuple(terms.tenant_priority, terms.priority, needless, one.owner->sequence, fresh,
-                      -static_cast<std::int64_t>(which.spec->length_hint), one.index);
+  auto const rank = [](run_candidate const& candidate) {
+    sample_entry const& sample = candidate.job->samples[candidate.index];
+    // Partially run samples are closest to completion. Resubmitted ones are usually long, and their
+    // job needs them.
+    bool const has_not_run = sample.events == 0;
+    bool const deferrable = has_not_run && !sample.resubmitted;
+    job_policy const& policy = candidate.job->policy;
+    return std::tuple(policy.tenant_priority, policy.priority, deferrable, candidate.job->sequence,
+                      has_not_run, -static_cast<std::int64_t>(sample.spec->length_hint),
+                      candidate.index);
   };
   std::sort(all.begin(), all.end(), [&](run_candidate const& left, run_candidate const& right) {
     return rank(left) < rank(right);
@@ -218,141 +221,143 @@
   return all;
 }
 
-run_key job_table::start(job& owner, std::uint32_t index, std::string engine, time_point now) {
-  sample& one = owner.samples[index];
-  if (!one.started_at) one.started_at = now;
-  ++one.runs;
-  one.state = sample_state::running;
-  one.engine = std::move(engine);
-  return {owner.record.id, index, ++one.attempt};
+run_key job_table::start(job_entry& job, std::uint32_t index, std::string engine, time_point now) {
+  sample_entry& sample = job.samples[index];
+  if (!sample.started_at) sample.started_at = now;
+  ++sample.runs;
+  sample.state = sample_state::running;
+  sample.engine = std::move(engine);
+  return {job.record.id, index, ++sample.attempt};
 }
 
-sample* job_table::running(run_key const& key) {
-  job* const owner = find(key.job);
-  if (owner == nullptr || owner->ended) return nullptr;
-  sample& one = owner->samples[key.index];
-  if (one.attempt != key.attempt || one.state != sample_state::running) return nullptr;
-  return &one;
+sample_entry* job_table::find_running(run_key const& key) {
+  job_entry* const job = find(key.job);
+  if (job == nullptr || job->ended) return nullptr;
+  sample_entry& sample = job->samples[key.index];
+  if (sample.attempt != key.attempt || sample.state != sample_state::running) return nullptr;
+  return &sample;
 }
 
-event_result job_table::take_event(job const& owner, sample& one, calls::stream_event const& event,
-                                   std::uint64_t version, time_point now) {
-  if (event.id && one.last_event) {
-    if (*event.id <= *one.last_event) return event_result::repeated;
-    if (*event.id != *one.last_event + 1) return event_result::out_of_order;
+event_result job_table::append_event(job_entry const& job, sample_entry& sample,
+                                     calls::stream_event const& event, std::uint64_t version,
+                                     time_point now) {
+  if (event.id && sample.last_event) {
+    if (*event.id <= *sample.last_event) return event_result::duplicate;
+    if (*event.id != *sample.last_event + 1) return event_result::out_of_order;
   }
-  if (version < owner.record.min_version) return event_result::too_old;
+  if (version < job.record.min_version) return event_result::too_old;
   bool const known_version =
-      std::find(one.versions.begin(), one.versions.end(), version) != one.versions.end();
-  if (!known_version && owner.terms.single_version && !one.versions.empty()) {
+      std::find(sample.versions.begin(), sample.versions.end(), version) != sample.versions.end();
+  if (!known_version && job.policy.single_version && !sample.versions.empty()) {
     return event_result::mixed_versions;
   }
-  if (!known_version) one.versions.push_back(version);
-  if (one.events == 0) one.begun_at = now;
-  if (one.events > 0) one.text += '\n';
-  one.text += event.data;
-  ++one.events;
-  if (event.id) one.last_event = event.id;
-  return event_result::taken;
-}
-
-void job_table::finish(job& owner, std::uint32_t index, time_point now) {
-  sample& one = owner.samples[index];
-  one.state = sample_state::finished;
-  one.finished_at = now;
-  ++one.attempt;
-  one.result.id = one.spec->id;
-  owner.unlisted.push_back(index);
-}
-
-bool job_table::complete_text(job& owner, std::uint32_t index, time_point now) {
-  sample& one = owner.samples[index];
-  one.text_at = now;
-  one.result.outcome = rpc::SampleOutcome::COMPLETED;
-  one.result.text = std::move(one.text);
-  one.result.versions = one.versions;
-  one.text.clear();
-  if (one.spec->scorer) {
-    one.state = sample_state::scoring;
-    ++one.attempt;
+  if (!known_version) sample.versions.push_back(version);
+  if (sample.events == 0) sample.first_event_at = now;
+  if (sample.events > 0) sample.text += '\n';
+  sample.text += event.data;
+  ++sample.events;
+  if (event.id) sample.last_event = event.id;
+  return event_result::accepted;
+}
+
+void job_table::finish(job_entry& job, std::uint32_t index, time_point now) {
+  sample_entry& sample = job.samples[index];
+  sample.state = sample_state::finished;
+  sample.finished_at = now;
+  ++sample.attempt;
+  sample.result.id = sample.spec->id;
+  job.unlisted.push_back(index);
+}
+
+bool job_table::complete_text(job_entry& job, std::uint32_t index, time_point now) {
+  sample_entry& sample = job.samples[index];
+  sample.text_completed_at = now;
+  sample.result.outcome = rpc::SampleOutcome::COMPLETED;
+  sample.result.text = std::move(sample.text);
+  sample.result.versions = sample.versions;
+  sample.text.clear();
+  if (sample.spec->scorer) {
+    sample.state = sample_state::scoring;
+    ++sample.attempt;
     return true;
   }
-  finish(owner, index, now);
+  finish(job, index, now);
   return false;
 }
 
-void job_table::score(job& owner, std::uint32_t index, std::string score, time_point now) {
-  owner.samples[index].result.score = std::move(score);
-  finish(owner, index, now);
+void job_table::set_score(job_entry& job, std::uint32_t index, std::string score, time_point now) {
+  job.samples[index].result.score = std::move(score);
+  finish(job, index, now);
 }
 
-void job_table::give_up(job& owner, std::uint32_t index, time_point now) {
-  sample& one = owner.samples[index];
-  one.result = rpc::SampleResultT();
-  one.result.outcome = rpc::SampleOutcome::DEAD;
-  one.drop_text();
-  finish(owner, index, now);
+void job_table::mark_dead(job_entry& job, std::uint32_t index, time_point now) {
+  sample_entry& sample = job.samples[index];
+  sample.result = rpc::SampleResultT();
+  sample.result.outcome = rpc::SampleOutcome::DEAD;
+  sample.drop_text();
+  finish(job, index, now);
 }
 
-void job_table::requeue(sample& one, time_point not_before) {
-  one.state = sample_state::waiting;
-  one.not_before = not_before;
-  one.engine.clear();
-  ++one.attempt;
+void job_table::requeue(sample_entry& sample, time_point not_before) {
+  sample.state = sample_state::waiting;
+  sample.not_before = not_before;
+  sample.engine.clear();
+  ++sample.attempt;
 }
 
-void job_table::restart(sample& one, time_point not_before) {
-  requeue(one, not_before);
-  one.drop_text();
-  one.events = 0;
-  one.last_event.reset();
-  one.versions.clear();
+void job_table::restart(sample_entry& sample, time_point not_before) {
+  requeue(sample, not_before);
+  sample.drop_text();
+  sample.events = 0;
+  sample.last_event.reset();
+  sample.versions.clear();
 }
 
 void job_table::expire(time_point now) {
-  for (auto const& [id, owner] : jobs_) {
-    milliseconds const longest = owner->terms.max_queue;
-    if (!owner->is_open() || longest == milliseconds(0)) continue;
-    if (now - owner->accepted_at <= longest) continue;
-    for (std::uint32_t index = 0; index < owner->samples.size(); ++index) {
-      sample_state const state = owner->samples[index].state;
+  for (auto const& [id, job] : jobs_) {
+    milliseconds const longest = job->policy.max_queue;
+    if (!job->is_open() || longest == milliseconds(0)) continue;
+    if (now - job->accepted_at <= longest) continue;
+    for (std::uint32_t index = 0; index < job->samples.size(); ++index) {
+      sample_state const state = job->samples[index].state;
       if (state != sample_state::finished && state != sample_state::listed) {
-        give_up(*owner, index, now);
+        mark_dead(*job, index, now);
       }
     }
   }
 }
 
-std::uint64_t job_table::whole_groups(job const& owner) const {
-  std::map<std::string, bool> whole;
-  for (sample const& one : owner.samples) {
-    bool const done = one.state == sample_state::finished || one.state == sample_state::listed;
-    auto const [place, fresh] = whole.emplace(one.spec->group, done);
-    if (!fresh) place->second = place->second && done;
+std::uint64_t job_table::count_complete_groups(job_entry const& job) const {
+  std::map<std::string, bool> complete;
+  for (sample_entry const& sample : job.samples) {
+    bool const done =
+        sample.state == sample_state::finished || sample.state == sample_state::listed;
+    auto const [place, inserted] = complete.emplace(sample.spec->group, done);
+    if (!inserted) place->second = place->second && done;
   }
-  return static_cast<std::uint64_t>(
-      std::count_if(whole.begin(), whole.end(), [](auto const& group) { return group.second; }));
+  return static_cast<std::uint64_t>(std::count_if(complete.begin(), complete.end(),
+                                                  [](auto const& group) { return group.second; }));
 }
 
 std::vector<rpc::SampleProgressT> job_table::take_progress(std::size_t limit) {
   std::vector<rpc::SampleProgressT> reports;
   std::size_t bytes = 0;
-  for (auto const& [id, owner] : jobs_) {
-    if (!owner->is_open()) continue;
-    for (std::uint32_t index = 0; index < owner->samples.size(); ++index) {
-      sample& one = owner->samples[index];
-      if (!has_news(one, one.replicated)) continue;
+  for (auto const& [id, job] : jobs_) {
+    if (!job->is_open()) continue;
+    for (std::uint32_t index = 0; index < job->samples.size(); ++index) {
+      sample_entry& sample = job->samples[index];
+      if (!has_unsent_progress(sample, sample.replicated)) continue;
       if (bytes > limit) return reports;
-      reports.push_back(report_progress(id, index, one, one.replicated));
+      reports.push_back(make_progress_report(id, index, sample, sample.replicated));
       bytes += reports.back().text.size();
     }
   }
   return reports;
 }
 
-void job_table::forget_replicated() {
-  for (auto const& [id, owner] : jobs_) {
-    for (sample& one : owner->samples) one.replicated = {};
+void job_table::reset_replicated() {
+  for (auto const& [id, job] : jobs_) {
+    for (sample_entry& sample : job->samples) sample.replicated = {};
   }
 }
 
@@ -360,14 +365,15 @@
                                                              std::size_t limit) {
   std::vector<rpc::ProgressReportT> reports;
   std::size_t bytes = 0;
-  for (auto const& [id, owner] : jobs_) {
-    if (!owner->is_open() || !owner->recorded) continue;
+  for (auto const& [id, job] : jobs_) {
+    if (!job->is_open() || !job->recorded) continue;
     rpc::ProgressReportT report;
     report.jobs.push_back(id);
-    for (std::uint32_t index = 0; index < owner->samples.size() && bytes <= limit; ++index) {
-      sample& one = owner->samples[index];
-      if (!is_worth_a_checkpoint(one, now, age) || !has_news(one, one.stored)) continue;
-      auto entry = report_progress(id, index, one, one.stored);
+    for (std::uint32_t index = 0; index < job->samples.size() && bytes <= limit; ++index) {
+      sample_entry& sample = job->samples[index];
+      if (!needs_checkpoint(sample, now, age) || !has_unsent_progress(sample, sample.stored))
+        continue;
+      auto entry = make_progress_report(id, index, sample, sample.stored);
       bytes += entry.text.size();
       report.entries.push_back(std::make_unique<rpc::SampleProgressT>(std::move(entry)));
     }
@@ -376,68 +382,68 @@
   return reports;
 }
 
-void job_table::forget_checkpoints() {
-  for (auto const& [id, owner] : jobs_) {
-    for (sample& one : owner->samples) one.stored = {};
+void job_table::reset_checkpoints() {
+  for (auto const& [id, job] : jobs_) {
+    for (sample_entry& sample : job->samples) sample.stored = {};
   }
 }
 
 bool job_table::adopt(rpc::SampleProgressT const& progress, time_point now) {
-  job* const owner = find(progress.job);
-  if (owner == nullptr || owner->ended || progress.index >= owner->samples.size()) return false;
-  sample& one = owner->samples[progress.index];
-  bool const open = one.state == sample_state::waiting || one.state == sample_state::running;
-  if (!open || (progress.events <= one.events && !progress.result)) return false;
-  if (one.state == sample_state::running) requeue(one, now);
-  one.drop_text();
-  one.events = progress.events;
-  one.last_event.reset();
-  if (progress.has_last_event) one.last_event = progress.last_event;
-  one.versions = progress.versions;
-  one.text = progress.text;
+  job_entry* const job = find(progress.job);
+  if (job == nullptr || job->ended || progress.index >= job->samples.size()) return false;
+  sample_entry& sample = job->samples[progress.index];
+  bool const open = sample.state == sample_state::waiting || sample.state == sample_state::running;
+  if (!open || (progress.events <= sample.events && !progress.result)) return false;
+  if (sample.state == sample_state::running) requeue(sample, now);
+  sample.drop_text();
+  sample.events = progress.events;
+  sample.last_event.reset();
+  if (progress.has_last_event) sample.last_event = progress.last_event;
+  sample.versions = progress.versions;
+  sample.text = progress.text;
   if (!progress.result) return true;
-  one.result = *progress.result;
-  one.result.text = std::move(one.text);
-  one.text.clear();
-  finish(*owner, progress.index, now);
+  sample.result = *progress.result;
+  sample.result.text = std::move(sample.text);
+  sample.text.clear();
+  finish(*job, progress.index, now);
   return true;
 }
 
-bool job_table::is_commit_due(job const& owner, time_point now) const {
-  if (owner.unlisted.empty() || owner.committing > 0 || owner.ended) return false;
-  if (owner.listed.size() + owner.unlisted.size() == owner.samples.size()) return true;
-  if (now - owner.samples[owner.unlisted.front()].finished_at >= k_commit_interval) return true;
-  bool const newly_enough = whole_groups(owner) >= owner.record.desired;
-  return newly_enough && owner.record.desired > 0;
+bool job_table::is_commit_due(job_entry const& job, time_point now) const {
+  if (job.unlisted.empty() || job.committing > 0 || job.ended) return false;
+  if (job.listed.size() + job.unlisted.size() == job.samples.size()) return true;
+  if (now - job.samples[job.unlisted.front()].finished_at >= k_commit_interval) return true;
+  bool const newly_enough = count_complete_groups(job) >= job.record.desired;
+  return newly_enough && job.record.desired > 0;
 }
 
-std::optional<rpc::ResultBatchT> job_table::next_batch(job& owner, time_point now,
+std::optional<rpc::ResultBatchT> job_table::next_batch(job_entry& job, time_point now,
                                                        std::size_t limit) {
-  if (!owner.recorded || !is_commit_due(owner, now)) return std::nullopt;
+  if (!job.recorded || !is_commit_due(job, now)) return std::nullopt;
   rpc::ResultBatchT batch;
-  batch.job = owner.record.id;
-  batch.first = owner.listed.size();
+  batch.job = job.record.id;
+  batch.first = job.listed.size();
   std::size_t bytes = 0;
-  for (std::uint32_t index : owner.unlisted) {
-    rpc::SampleResultT const& result = owner.samples[index].result;
+  for (std::uint32_t index : job.unlisted) {
+    rpc::SampleResultT const& result = job.samples[index].result;
     bytes += result.text.size() + result.id.size() + result.score.size() + 64;
     if (bytes > limit && !batch.results.empty()) break;
     batch.results.push_back(std::make_unique<rpc::SampleResultT>(copy_result(result)));
   }
-  owner.committing = batch.results.size();
+  job.committing = batch.results.size();
   return batch;
 }
 
-void job_table::confirm(job& owner) {
-  std::size_t const count = std::min(owner.committing, owner.unlisted.size());
+void job_table::confirm_batch(job_entry& job) {
+  std::size_t const count = std::min(job.committing, job.unlisted.size());
   for (std::size_t place = 0; place < count; ++place) {
-    std::uint32_t const index = owner.unlisted[place];
-    owner.samples[index].state = sample_state::listed;
-    owner.listed.push_back(index);
+    std::uint32_t const index = job.unlisted[place];
+    job.samples[index].state = sample_state::listed;
+    job.listed.push_back(index);
   }
-  owner.unlisted.erase(owner.unlisted.begin(),
-                       owner.unlisted.begin() + static_cast<std::ptrdiff_t>(count));
-  owner.committing = 0;
+  job.unlisted.erase(job.unlisted.begin(),
+                     job.unlisted.begin() + static_cast<std::ptrdiff_t>(count));
+  job.committing = 0;
 }
 
 }  // namespace frostline::jobs
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,5 +1,5 @@
-/// @file The batch jobs of one pool and where each of their samples stands. Pure: the owner's
-/// services drive it, the tests too.
+/// @file State of the batch jobs of one pool and of their samples. Performs no I/O and reads no
+/// clock.
 #pragma once
 
 #include <cstdint>
@@ -16,203 +16,207 @@
 
 namespace frostline::jobs {
 
-/// waiting -> running -> scoring -> finished -> listed; running -> waiting when a run breaks or is
-/// moved; running -> finished (dead) when it failed for good; scoring -> finished; waiting ->
-/// finished (dead) when it is out of time. listed is final.
+/// waiting -> running -> scoring -> finished -> listed. Samples without a scorer skip `scoring`.
+/// running -> waiting: the run broke off or was moved to another engine.
+/// waiting, running or scoring -> finished with outcome DEAD: permanent failure or time limit.
+/// `listed` is final: the result is committed at a fixed position.
 enum class sample_state { waiting, running, scoring, finished, listed };
 
-/// What the route in force says of a job.
-struct job_terms {
+/// Settings of a job, from the route and the tenant in the active configuration.
+struct job_policy {
   std::uint32_t max_attempts = 1;
-  /// Of the tenant that handed it in; goes before the route's.
+  /// Priority of the submitting tenant; takes precedence over the route's.
   std::uint32_t tenant_priority = 0;
   std::uint32_t priority = 0;
   milliseconds due{0};
-  /// 0: items are never given up for their age.
+  /// Age at which unfinished items are marked dead; 0 means no limit.
   milliseconds max_queue{0};
   bool single_version = false;
 };
 
-/// What of a sample's present text was sent somewhere.
+/// How much of a sample's current text has been sent to a destination.
 struct sent_progress {
   std::size_t bytes = 0;
   std::uint64_t events = 0;
   bool result = false;
 };
 
-struct sample {
+struct sample_entry {
   rpc::JobItemT const* spec = nullptr;
   sample_state state = sample_state::waiting;
-  /// Data of the events so far, joined by line feeds.
+  /// Data of the events received so far, joined by line feeds.
   std::string text;
   std::uint64_t events = 0;
   std::optional<std::uint64_t> last_event;
   std::vector<std::uint64_t> versions;
-  /// Service whose engines run it, chosen once by the route's shares.
+  /// Service whose engines run the sample, chosen once by the route's shares.
   std::string service;
   std::string engine;
-  /// Changes with each run and each end of one; an event of an older run is ignored.
+  /// Incremented when a run starts or ends; events of older attempts are ignored.
   std::uint64_t attempt = 0;
-  /// Runs begun by this owner.
+  /// Runs started by this owner.
   std::uint32_t runs = 0;
-  /// An earlier job ended without it: its job waits for it, whatever else is whole.
-  bool comes_again = false;
+  /// The item was left unfinished by a job that ended earlier, so it is scheduled first.
+  bool resubmitted = false;
   std::uint32_t failures = 0;
   std::uint32_t scoring_failures = 0;
   time_point not_before = time_point::min();
-  /// First run of it by this owner; its whole text; the end of its scoring.
+  /// Start of the first run by this owner.
   std::optional<time_point> started_at;
-  time_point text_at{};
+  /// When the text was complete.
+  time_point text_completed_at{};
+  /// When the sample finished, including its scoring.
   time_point finished_at{};
   rpc::SampleResultT result;
-  /// Counts the texts that were dropped or replaced: a report never joins two of them.
+  /// Incremented when the text is dropped or replaced, so that reports never mix two texts.
   std::uint64_t generation = 0;
-  /// What the replica, and the record store, have been sent of this generation.
+  /// How much of this generation has been sent to the replicas and to the record store.
   sent_progress replicated;
   sent_progress stored;
-  /// When the first event of the text came.
-  time_point begun_at{};
-  /// Set when it is first needed.
-  std::optional<quarantine::fingerprint> identity;
-  /// Engines have ended under it, and it was kept from the next.
+  /// When the first event of the text arrived.
+  time_point first_event_at{};
+  /// Computed on first use by fingerprint_of.
+  std::optional<quarantine::fingerprint> cached_fingerprint;
+  /// Held back as a possible poison request.
   bool held_back = false;
 
-  /// The text is to be another one: what was sent of the present one counts no more.
+  /// Discards the text and starts a new generation, of which nothing has been sent.
   void drop_text();
 };
 
-struct job {
+struct job_entry {
   rpc::JobRecordT record;
-  job_terms terms;
+  job_policy policy;
   time_point accepted_at{};
-  /// Place in the order of acceptance.
+  /// Position in the order of acceptance.
   std::uint64_t sequence = 0;
   bool ended = false;
-  /// Whether its record is known to be stored. Until then its samples may run, and nothing of it is
-  /// shown or stored.
+  /// True once the record is known to be stored. Before that, samples may run but nothing is shown
+  /// to callers or stored.
   bool recorded = true;
-  std::vector<sample> samples;
-  /// Samples in the order of their positions.
+  std::vector<sample_entry> samples;
+  /// Indexes of the samples with committed results, in the order of their positions.
   std::vector<std::uint32_t> listed;
-  /// Finished, not committed; in the order of finishing.
+  /// Indexes of finished samples that are not committed, in the order of finishing.
   std::vector<std::uint32_t> unlisted;
-  /// Results at the end of `unlisted` that a commit under way holds.
+  /// Number of results at the front of `unlisted` that are part of an in-flight commit.
   std::size_t committing = 0;
 
   bool is_open() const { return !ended && listed.size() < samples.size(); }
 };
 
-/// Where the time of a sample went, at this owner.
+/// Time that a sample spent in each phase at this owner.
 struct sample_times {
   std::uint32_t index = 0;
-  /// From the job's acceptance, or its loading by this owner, to the first run.
+  /// From the acceptance of the job, or its loading by this owner, to the first run.
   milliseconds waited{0};
-  /// From the first run to the whole text, breaks and moves included.
+  /// From the first run to the complete text, including interruptions and moves.
   milliseconds ran{0};
   milliseconds scored{0};
 };
 
-/// The listed sample that was finished last: the one that its job waited for. Nothing if this owner
-/// ran none of them.
-std::optional<sample_times> times_of_last_sample(job const& owner);
+/// Phase times of the listed sample that finished last. Nothing if this owner ran none of them.
+std::optional<sample_times> last_sample_times(job_entry const& job);
 
-/// Tokens of all items, as their submitter bounds them.
-std::uint64_t tokens_of(rpc::JobRecordT const& record);
+/// Sum of the submitter's token limits of all items.
+std::uint64_t total_tokens(rpc::JobRecordT const& record);
 
-/// Memory that a run of this item is expected to take, in tokens: its prompt and some times the
-/// submitter's guess, at most what the submitter allows. Where several runs share an engine, the
-/// sum matters, and few of them are much longer than guessed.
+/// Expected cache usage of a run of this item, in tokens: the prompt plus a multiple of the
+/// submitter's length hint, at most the submitter's limit.
 std::uint64_t expected_tokens(rpc::JobItemT const& item);
 
-/// What makes a sample's request the same in whichever job it comes.
-quarantine::fingerprint const& identify(job& owner, std::uint32_t index);
+/// Fingerprint of a sample's request; equal requests have the same fingerprint in all jobs.
+quarantine::fingerprint const& fingerprint_of(job_entry& job, std::uint32_t index);
 
-/// Names one run of one sample.
+/// Identifies one run of a sample.
 struct run_key {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
 };
 
-/// A sample that may be started now.
+/// A sample that is ready to start.
 struct run_candidate {
-  job* owner = nullptr;
+  job_entry* job = nullptr;
   std::uint32_t index = 0;
 };
 
-enum class event_result { taken, repeated, out_of_order, too_old, mixed_versions };
+enum class event_result { accepted, duplicate, out_of_order, too_old, mixed_versions };
 
 class job_table {
  public:
-  /// @return false if the job is known; what is known of it stays.
+  /// @return false if the job exists already; it is left unchanged.
   bool add(rpc::JobRecordT record, time_point now);
-  /// A job whose record is still being written: its samples may run. @return as `add`.
+  /// Adds a job whose record is still being written, so that its samples can run. @return as `add`.
   bool add_unrecorded(rpc::JobRecordT record, time_point now);
-  /// The job's record is stored.
-  void note_recorded(std::string const& id);
-  /// Jobs without a stored record that came at `before` or earlier.
-  std::vector<std::string> unrecorded(time_point before) const;
-  /// Results as the record store holds them. Out-of-order batches are put in their place.
-  void restore(rpc::ResultBatchT batch);
-  /// The submitter wants no more. @return false if there is no such job.
+  /// Marks the job's record as stored.
+  void mark_recorded(std::string const& id);
+  /// Jobs without a stored record that were added at `before` or earlier.
+  std::vector<std::string> unrecorded_jobs(time_point before) const;
+  /// Applies a stored batch of results. Ignores results that are listed already, and a batch that
+  /// would leave a gap.
+  void restore_results(rpc::ResultBatchT batch);
+  /// Ends a job at the submitter's request. @return false if there is no such job.
   bool end(std::string const& id);
   void forget(std::string const& id);
 
-  job* find(std::string const& id);
-  std::map<std::string, std::unique_ptr<job>>& jobs() { return jobs_; }
+  job_entry* find(std::string const& id);
+  std::map<std::string, std::unique_ptr<job_entry>>& jobs() { return jobs_; }
 
-  /// Samples that may be started, the most urgent first: by the tenant's and the route's priority,
-  /// then what has begun or comes again, then the job's age, then the longest expected run.
+  /// Samples that may be started, in scheduling order: by the tenant's and the route's priority,
+  /// then partially run and resubmitted samples, then the job's age, then the longest expected run.
   std::vector<run_candidate> runnable(time_point now);
-  run_key start(job& owner, std::uint32_t index, std::string engine, time_point now);
-  /// The sample of this run; null if the run is not wanted any more.
-  sample* running(run_key const& key);
-
-  /// Takes an event of a run in, made under `version`.
-  event_result take_event(job const& owner, sample& one, calls::stream_event const& event,
-                          std::uint64_t version, time_point now);
-  /// All events have come. @return whether a scorer must be asked.
-  bool complete_text(job& owner, std::uint32_t index, time_point now);
-  void score(job& owner, std::uint32_t index, std::string score, time_point now);
-  /// It can never be done, or was tried often enough.
-  void give_up(job& owner, std::uint32_t index, time_point now);
-  /// The run broke or was moved: it goes on elsewhere from what it has.
-  void requeue(sample& one, time_point not_before);
-  /// As requeue, from nothing.
-  void restart(sample& one, time_point not_before);
-  /// Gives samples up that are over their job's longest time.
+  run_key start(job_entry& job, std::uint32_t index, std::string engine, time_point now);
+  /// The sample of this run; null if the run is no longer current.
+  sample_entry* find_running(run_key const& key);
+
+  /// Appends an event of a run, generated with weights of `version`.
+  event_result append_event(job_entry const& job, sample_entry& sample,
+                            calls::stream_event const& event, std::uint64_t version,
+                            time_point now);
+  /// Completes the sample's text. @return true if the sample must be scored.
+  bool complete_text(job_entry& job, std::uint32_t index, time_point now);
+  void set_score(job_entry& job, std::uint32_t index, std::string score, time_point now);
+  /// Finishes a sample with outcome DEAD.
+  void mark_dead(job_entry& job, std::uint32_t index, time_point now);
+  /// Returns a sample to the queue; the next run continues from its last event.
+  void requeue(sample_entry& sample, time_point not_before);
+  /// As requeue, but discards the text, so that the next run starts over.
+  void restart(sample_entry& sample, time_point not_before);
+  /// Marks the unfinished samples dead whose job is older than its max_queue.
   void expire(time_point now);
 
-  /// What has changed since the last call and is not listed, up to `limit` bytes of text.
+  /// Changes of unlisted samples since the last call. Stops once the texts exceed `limit` bytes.
   std::vector<rpc::SampleProgressT> take_progress(std::size_t limit);
-  /// The replica has nothing: the next report is whole.
-  void forget_replicated();
-  /// What has changed in the texts of runs that began `age` ago or earlier, a report for each open
-  /// job that has any, up to `limit` bytes of text. Finished samples are left out: their results
-  /// are to be committed.
+  /// Makes the next take_progress return full texts.
+  void reset_replicated();
+  /// Changes of texts whose first event is at least `age` old, as one report per open job. Stops
+  /// once the texts exceed `limit` bytes. Excludes finished samples, since their results are
+  /// committed.
   std::vector<rpc::ProgressReportT> take_checkpoint(time_point now, milliseconds age,
                                                     std::size_t limit);
-  /// The next checkpoint is whole.
-  void forget_checkpoints();
-  /// Takes over what a former owner reported of a sample, if it came further there than here. A run
-  /// of it here is not wanted any more. @return whether it was taken.
+  /// Makes the next checkpoint hold full texts.
+  void reset_checkpoints();
+  /// Adopts a sample's progress from the previous owner if it is ahead of the local progress, and
+  /// invalidates a local run of the sample. @return true if it was adopted.
   bool adopt(rpc::SampleProgressT const& progress, time_point now);
 
-  /// The next results to commit, if there are any and it is time. At most `limit` bytes.
-  std::optional<rpc::ResultBatchT> next_batch(job& owner, time_point now, std::size_t limit);
-  /// The batch is in the record store: its positions may be shown.
-  void confirm(job& owner);
-  /// The batch's outcome is settled: it was not stored.
-  void abandon_batch(job& owner) { owner.committing = 0; }
+  /// The next results to commit, if a commit is due. At most `limit` bytes, but at least one
+  /// result.
+  std::optional<rpc::ResultBatchT> next_batch(job_entry& job, time_point now, std::size_t limit);
+  /// Lists the results of the batch after it was stored.
+  void confirm_batch(job_entry& job);
+  /// Releases a batch that is known not to be stored.
+  void abandon_batch(job_entry& job) { job.committing = 0; }
 
  private:
-  bool is_commit_due(job const& owner, time_point now) const;
-  std::uint64_t whole_groups(job const& owner) const;
-  void finish(job& owner, std::uint32_t index, time_point now);
+  bool is_commit_due(job_entry const& job, time_point now) const;
+  std::uint64_t count_complete_groups(job_entry const& job) const;
+  void finish(job_entry& job, std::uint32_t index, time_point now);
 
-  std::map<std::string, std::unique_ptr<job>> jobs_;
-  /// Items that ended jobs lack, and of which job.
-  std::map<std::string, std::string> left_over_;
+  std::map<std::string, std::unique_ptr<job_entry>> jobs_;
+  /// Items left unfinished by ended jobs, with the identifier of the job.
+  std::map<std::string, std::string> unfinished_items_;
   std::uint64_t next_sequence_ = 1;
 };
 
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -9,23 +9,22 @@
 namespace {
 
 constexpr std::string_view k_part = "jobs";
-constexpr milliseconds k_tick{100};
-constexpr milliseconds k_least_pause{4};
+constexpr milliseconds k_iteration_interval{100};
+constexpr milliseconds k_min_iteration_gap{4};
 constexpr milliseconds k_orders_interval{40};
-/// A turn that takes a fifteenth of the lease's time is worth a line.
-constexpr milliseconds k_long_turn{100};
-constexpr milliseconds k_load_pause{100};
-/// The store counts as silent after that long: it answers renewals of a lease every 400 ms, and one
-/// without an answer is sent again after 150 ms.
-constexpr milliseconds k_store_silence{700};
-/// Checkpoints are this far apart and hold runs of at least this age: most runs are shorter.
+/// Iterations at least this long are logged, since they could delay the renewal of the lease.
+constexpr milliseconds k_slow_iteration{100};
+constexpr milliseconds k_load_retry_delay{100};
+/// Time without a confirmed lease renewal after which the store counts as unavailable. Renewals are
+/// sent every 400 ms and retried after 150 ms.
+constexpr milliseconds k_store_outage_threshold{700};
+/// Interval of checkpoints, and the minimum age of the runs that they hold: most runs are shorter.
 constexpr milliseconds k_checkpoint_interval{1000};
 constexpr milliseconds k_checkpoint_age{1500};
-/// A checkpoint's texts; a record has room for one text more.
+/// Size of the texts in a checkpoint; the last text may exceed it, and still fits in a record.
 constexpr std::size_t k_checkpoint_bytes = 256 * 1024;
-/// Calls wait that long for an owner that is about to be ready, so that they are not sent again and
-/// again.
-constexpr milliseconds k_longest_hold{400};
+/// How long calls wait for a loading or suspended owner, to avoid repeated retries.
+constexpr milliseconds k_max_ready_wait{400};
 
 engines::order_authority make_authority(pool_owner_dependencies const& dependencies,
                                         sample_runner const& runner) {
@@ -49,11 +48,10 @@
               make_authority(dependencies_, runner_)),
       log_(dependencies_.context, dependencies_.store, dependencies_.limits,
            dependencies_.lease.resource()),
-      runner_(runner_dependencies{dependencies_.context, dependencies_.configuration,
-                                  dependencies_.servers, dependencies_.connections,
-                                  dependencies_.forwarder, dependencies_.names, board_,
-                                  dependencies_.quarantine, table_,
-                                  [this] { return may_send_again(); }, [this] { notify(); }}),
+      runner_(runner_dependencies{
+          dependencies_.context, dependencies_.configuration, dependencies_.servers,
+          dependencies_.connections, dependencies_.forwarder, dependencies_.names, board_,
+          dependencies_.quarantine, table_, [this] { return may_resend(); }, [this] { notify(); }}),
       progress_(dependencies_.context, dependencies_.transport, dependencies_.lease.resource(),
                 dependencies_.zone),
       work_(dependencies_.context),
@@ -62,7 +60,7 @@
       written_(dependencies_.context) {}
 
 void pool_owner::start() {
-  dependencies_.lease.on_change([this] { gained(); }, [this] { lost(); });
+  dependencies_.lease.on_change([this] { on_lease_gained(); }, [this] { on_lease_lost(); });
   progress_.on_newer_owner([this](std::uint64_t epoch) {
     newer_epoch_ = std::max(newer_epoch_, epoch);
     notify();
@@ -76,18 +74,18 @@
 }
 
 void pool_owner::note_servers(std::vector<std::string> const& ids) {
-  // Nodes that don't own the pool hold a part of its engines at most.
-  if (state_ == owner_state::standby) board_is_old_ = true;
-  if (!board_is_old_) changed_servers_.insert(ids.begin(), ids.end());
+  // On nodes that don't own the pool, the board is rebuilt once they become the owner.
+  if (state_ == owner_state::standby) board_is_stale_ = true;
+  if (!board_is_stale_) changed_servers_.insert(ids.begin(), ids.end());
   notify();
 }
 
-void pool_owner::gained() {
+void pool_owner::on_lease_gained() {
   state_ = owner_state::loading;
   spawn(dependencies_.context, load(++term_));
 }
 
-void pool_owner::lost() {
+void pool_owner::on_lease_lost() {
   ++term_;
   log_.close();
   submitting_.clear();
@@ -96,14 +94,14 @@
   state_ = was_loaded ? owner_state::suspended : owner_state::standby;
 }
 
-void pool_owner::drop_everything() {
+void pool_owner::drop_state() {
   state_ = owner_state::standby;
   runner_.abort_runs({});
   table_.jobs().clear();
   board_.update({});
-  board_is_old_ = true;
-  ended_unread_.clear();
-  ended_wanted_.clear();
+  board_is_stale_ = true;
+  unloaded_ended_jobs_.clear();
+  requested_ended_jobs_.clear();
   listed_.notify_all();
 }
 
@@ -111,13 +109,13 @@
   time_point const begin = boot_clock::now();
   bool done = co_await load_marks(term);
   while (!done && term == term_) {
-    co_await wait_for(with_jitter(k_load_pause));
+    co_await wait_for(with_jitter(k_load_retry_delay));
     done = co_await load_marks(term);
   }
   if (term != term_) co_return;
   replica_.clear();
   progress_.begin_term();
-  table_.forget_checkpoints();
+  table_.reset_checkpoints();
   log_.open(ownership::owner_lease::key_of(dependencies_.lease.resource()),
             dependencies_.lease.epoch());
   orders_.begin_term();
@@ -127,7 +125,7 @@
            {{"pool", dependencies_.lease.resource()},
             {"epoch", dependencies_.lease.epoch()},
             {"jobs", table_.jobs().size()},
-            {"ended", ended_unread_.size()},
+            {"ended", unloaded_ended_jobs_.size()},
             {"after_ms", spent.count()}});
   listed_.notify_all();
   notify();
@@ -139,55 +137,56 @@
   if (!answer || term != term_) co_return false;
   stored_marks const marks = read_marks(pool, answer.value().entries);
   for (auto const& [id, end] : marks.ended) {
-    // What is stored counts: another owner, or a write without an answer, may have listed more.
+    // The stored data is authoritative: another owner, or a write without an answer, may have
+    // listed more results.
     table_.forget(id);
-    ended_unread_[id] = end;
+    unloaded_ended_jobs_[id] = end;
   }
-  for (auto const& [id, held] : table_.jobs()) held->committing = 0;
-  // A write whose outcome was not known when the lease was lost may have been done.
-  for (std::string const& id : marks.open) table_.note_recorded(id);
-  co_return co_await load_all(marks.open, term);
+  for (auto const& [id, job] : table_.jobs()) job->committing = 0;
+  // A write whose outcome was unknown when the lease was lost may have taken effect.
+  for (std::string const& id : marks.open) table_.mark_recorded(id);
+  co_return co_await load_jobs(marks.open, term);
 }
 
-awaitable<bool> pool_owner::load_all(std::vector<std::string> ids, std::uint64_t term) {
+awaitable<bool> pool_owner::load_jobs(std::vector<std::string> ids, std::uint64_t term) {
   auto const progress = std::make_shared<load_progress>();
-  progress->left = ids.size();
+  progress->remaining = ids.size();
   progress->jobs.resize(ids.size());
   for (std::size_t place = 0; place < ids.size(); ++place) {
-    spawn(dependencies_.context, read_into(ids[place], progress, place));
+    spawn(dependencies_.context, read_job_into(ids[place], progress, place));
   }
-  while (progress->left > 0 && term == term_) {
-    co_await loaded_.wait_until(boot_clock::now() + k_tick);
+  while (progress->remaining > 0 && term == term_) {
+    co_await loaded_.wait_until(boot_clock::now() + k_iteration_interval);
   }
-  if (progress->left > 0 || progress->failed || term != term_) co_return false;
-  // Taken in the order of their acceptance, which is that of their age.
+  if (progress->remaining > 0 || progress->failed || term != term_) co_return false;
+  // Restored in the order of acceptance, which determines the scheduling order.
   for (std::size_t place = 0; place < ids.size(); ++place) {
-    take_stored(ids[place], std::move(progress->jobs[place]));
+    restore_job(ids[place], std::move(progress->jobs[place]));
   }
   co_return true;
 }
 
-awaitable<void> pool_owner::read_into(std::string id, std::shared_ptr<load_progress> progress,
-                                      std::size_t place) {
+awaitable<void> pool_owner::read_job_into(std::string id, std::shared_ptr<load_progress> progress,
+                                          std::size_t place) {
   auto stored = co_await read_stored(std::move(id));
   if (stored) {
     progress->jobs[place] = std::move(*stored);
   } else {
     progress->failed = true;
   }
-  --progress->left;
+  --progress->remaining;
   loaded_.notify_all();
 }
 
 awaitable<void> pool_owner::wait_until_ready(rpc::JobCallT const& call) {
   bool const changes = call.action == rpc::JobAction::SUBMIT || call.action == rpc::JobAction::END;
-  auto const patience = changes ? milliseconds(call.deadline_ms) : k_longest_hold;
-  time_point const limit = boot_clock::now() + std::min(patience, k_longest_hold);
-  while (boot_clock::now() < limit) {
-    bool const coming = state_ == owner_state::loading || state_ == owner_state::suspended;
+  auto const max_wait = changes ? milliseconds(call.deadline_ms) : k_max_ready_wait;
+  time_point const deadline = boot_clock::now() + std::min(max_wait, k_max_ready_wait);
+  while (boot_clock::now() < deadline) {
+    bool const becoming_ready = state_ == owner_state::loading || state_ == owner_state::suspended;
     bool const ready = changes ? state_ == owner_state::active : can_read();
-    if (ready || !coming) co_return;
-    co_await listed_.wait_until(limit);
+    if (ready || !becoming_ready) co_return;
+    co_await listed_.wait_until(deadline);
   }
 }
 
@@ -199,45 +198,45 @@
 }
 
 void pool_owner::note_job(rpc::JobRecordT const& record) {
-  orders_.note_job(record.model, record.min_version, tokens_of(record), record.items.size());
+  orders_.note_job(record.model, record.min_version, total_tokens(record), record.items.size());
 }
 
-void pool_owner::take_stored(std::string const& id, stored_job stored) {
+void pool_owner::restore_job(std::string const& id, stored_job stored) {
   if (!stored.record) {
-    log_line(log_level::error, k_part, "A job's record can't be read.", {{"job", id}});
+    log_line(log_level::error, k_part, "Job record is missing or malformed.", {{"job", id}});
     return;
   }
   note_job(*stored.record);
   time_point const now = boot_clock::now();
   table_.add(std::move(*stored.record), now);
-  for (rpc::ResultBatchT& batch : stored.batches) table_.restore(std::move(batch));
+  for (rpc::ResultBatchT& batch : stored.batches) table_.restore_results(std::move(batch));
   progress_replica from_store;
   for (rpc::ProgressReportT& report : stored.checkpoints) from_store.take(std::move(report), now);
   std::size_t adopted = 0;
-  for (progress_replica const* held : {&from_store, &replica_}) {
-    for (rpc::SampleProgressT const& progress : held->of_job(id)) {
+  for (progress_replica const* source : {&from_store, &replica_}) {
+    for (rpc::SampleProgressT const& progress : source->job_progress(id)) {
       if (table_.adopt(progress, now)) ++adopted;
     }
   }
   if (adopted == 0) return;
-  log_line(log_level::info, k_part, "Progress of the former owner taken over.",
+  log_line(log_level::info, k_part, "Adopted progress of the previous owner.",
            {{"job", id}, {"samples", adopted}});
 }
 
 awaitable<void> pool_owner::advance_loop() {
   while (true) {
-    // Changes that come close together are acted on together.
-    co_await wait_for(k_least_pause);
-    if (!work_pending_) co_await work_.wait_until(boot_clock::now() + k_tick);
+    // Batches changes that arrive close together.
+    co_await wait_for(k_min_iteration_gap);
+    if (!work_pending_) co_await work_.wait_until(boot_clock::now() + k_iteration_interval);
     work_pending_ = false;
     time_point const now = boot_clock::now();
-    permission_.note_turn(now, dependencies_.lease.holds(now));
-    bool const seen = state_ == owner_state::suspended && dependencies_.lease.owner() &&
-                      dependencies_.lease.owner()->node != dependencies_.node;
-    bool const told = newer_epoch_ > dependencies_.lease.epoch() &&
-                      state_ != owner_state::standby && !dependencies_.lease.holds(now);
-    if (told) lost();
-    if (seen || told) drop_everything();
+    run_permission_.note_iteration(now, dependencies_.lease.holds(now));
+    bool const other_owner_seen = state_ == owner_state::suspended && dependencies_.lease.owner() &&
+                                  dependencies_.lease.owner()->node != dependencies_.node;
+    bool const superseded = newer_epoch_ > dependencies_.lease.epoch() &&
+                            state_ != owner_state::standby && !dependencies_.lease.holds(now);
+    if (superseded) on_lease_lost();
+    if (other_owner_seen || superseded) drop_state();
     offer_replica();
     dependencies_.lease.set_preferred(state_ == owner_state::standby && replica_.is_fresh(now));
     if (state_ == owner_state::active || state_ == owner_state::suspended) advance();
@@ -246,47 +245,48 @@
 
 void pool_owner::advance() {
   time_point const now = boot_clock::now();
-  turn_clock clock(now);
+  iteration_timer timer(now);
   refresh_board();
-  clock.mark("board", boot_clock::now());
-  refresh_terms();
+  timer.mark("board", boot_clock::now());
+  refresh_policies();
   drop_unrecorded(now);
   table_.expire(now);
-  clock.mark("jobs", boot_clock::now());
-  bool const may_begin = permission_.may_begin_runs(now, dependencies_.lease.holds(now));
-  if (may_begin) runner_.advance(now);
-  clock.mark("runs", boot_clock::now());
-  bool const store_is_silent = now > dependencies_.lease.confirmed_at() + k_store_silence;
+  timer.mark("jobs", boot_clock::now());
+  bool const may_start_runs = run_permission_.may_start_runs(now, dependencies_.lease.holds(now));
+  if (may_start_runs) runner_.advance(now);
+  timer.mark("runs", boot_clock::now());
+  bool const store_unavailable =
+      now > dependencies_.lease.confirmed_at() + k_store_outage_threshold;
   std::size_t const copies =
-      store_is_silent ? progress_sender::k_copies_in_outage : progress_sender::k_copies;
+      store_unavailable ? progress_sender::k_replicas_in_outage : progress_sender::k_replicas;
   progress_.advance(table_, dependencies_.lease.epoch(), copies, now);
-  clock.mark("progress", boot_clock::now());
-  if (state_ == owner_state::active) keep_records(clock, now);
-  note_turn(clock);
+  timer.mark("progress", boot_clock::now());
+  if (state_ == owner_state::active) update_records(timer, now);
+  log_slow_iteration(timer);
 }
 
-void pool_owner::keep_records(turn_clock& clock, time_point now) {
+void pool_owner::update_records(iteration_timer& timer, time_point now) {
   if (now - orders_planned_at_ >= k_orders_interval) {
     orders_planned_at_ = now;
     orders_.advance(now);
   }
-  clock.mark("orders", boot_clock::now());
+  timer.mark("orders", boot_clock::now());
   commit_results(false);
   write_checkpoint(now);
-  forget_old(now);
-  clock.mark("records", boot_clock::now());
+  forget_expired_jobs(now);
+  timer.mark("records", boot_clock::now());
 }
 
-void pool_owner::note_turn(turn_clock const& clock) {
-  longest_turn_ = std::max(longest_turn_, clock.total());
-  if (clock.total() < k_long_turn) return;
-  auto const longest = clock.longest();
-  log_line(log_level::warning, k_part, "A turn of the owner's loop took long.",
+void pool_owner::log_slow_iteration(iteration_timer const& timer) {
+  longest_iteration_ = std::max(longest_iteration_, timer.total());
+  if (timer.total() < k_slow_iteration) return;
+  auto const longest = timer.longest();
+  log_line(log_level::warning, k_part, "Slow iteration of the owner loop.",
            {{"pool", dependencies_.lease.resource()},
             {"epoch", dependencies_.lease.epoch()},
-            {"turn_ms", clock.total().count()},
+            {"turn_ms", timer.total().count()},
             {"longest_part", longest.name},
-            {"longest_part_ms", std::chrono::duration_cast<milliseconds>(longest.time).count()},
+            {"longest_part_ms", std::chrono::duration_cast<milliseconds>(longest.elapsed).count()},
             {"engines", board_.engines().size()},
             {"jobs", table_.jobs().size()},
             {"engines_examined", board_.examined()}});
@@ -304,79 +304,79 @@
 }
 
 void pool_owner::refresh_board() {
-  if (board_is_old_) {
-    read_all_servers();
+  if (board_is_stale_) {
+    rebuild_board();
   } else {
     for (std::string const& id : changed_servers_) {
-      directory::server const* const one = dependencies_.servers.find(id);
-      if (one != nullptr && !one->models.empty()) {
-        board_.put(*one);
+      directory::server const* const server = dependencies_.servers.find(id);
+      if (server != nullptr && !server->models.empty()) {
+        board_.put(*server);
       } else {
         board_.remove(id);
       }
     }
   }
   changed_servers_.clear();
-  board_is_old_ = false;
+  board_is_stale_ = false;
   auto const table = dependencies_.configuration.table();
   auto const* pool = table ? table->find_service(dependencies_.lease.resource()) : nullptr;
   if (pool != nullptr && pool->engines) board_.set_cache_tokens(pool->engines->cache_tokens);
 }
 
-void pool_owner::read_all_servers() {
+void pool_owner::rebuild_board() {
   std::vector<directory::server const*> engines;
-  for (auto const& [id, one] : dependencies_.servers.servers()) {
-    if (!one.models.empty()) engines.push_back(&one);
+  for (auto const& [id, server] : dependencies_.servers.servers()) {
+    if (!server.models.empty()) engines.push_back(&server);
   }
   board_.update(engines);
 }
 
-void pool_owner::refresh_terms() {
+void pool_owner::refresh_policies() {
   auto const table = dependencies_.configuration.table();
   if (!table) return;
-  for (auto const& [id, held] : table_.jobs()) {
-    if (!held->is_open()) continue;
-    auto const* route = table->match(held->record.host, held->record.path);
+  for (auto const& [id, job] : table_.jobs()) {
+    if (!job->is_open()) continue;
+    auto const* route = table->match(job->record.host, job->record.path);
     if (route == nullptr) continue;
-    held->terms.max_attempts = route->max_attempts;
-    held->terms.priority = route->priority;
-    calls::tenant const* const who = table->tenants().find_by_name(held->record.tenant);
-    held->terms.tenant_priority = who == nullptr ? 0 : who->priority;
-    held->terms.due = route->due;
-    held->terms.max_queue = route->max_queue;
-    held->terms.single_version = route->single_version;
+    job->policy.max_attempts = route->max_attempts;
+    job->policy.priority = route->priority;
+    calls::tenant const* const tenant = table->tenants().find_by_name(job->record.tenant);
+    job->policy.tenant_priority = tenant == nullptr ? 0 : tenant->priority;
+    job->policy.due = route->due;
+    job->policy.max_queue = route->max_queue;
+    job->policy.single_version = route->single_version;
   }
 }
 
 void pool_owner::commit_results(bool all) {
   time_point const now = all ? time_point::max() : boot_clock::now();
-  for (auto const& [id, held] : table_.jobs()) {
-    auto batch = table_.next_batch(*held, now, log_.value_limit());
+  for (auto const& [id, job] : table_.jobs()) {
+    auto batch = table_.next_batch(*job, now, log_.value_limit());
     if (!batch) continue;
     std::uint64_t const term = term_;
     log_.write_results(*batch, [this, term, job_id = id](write_outcome outcome) {
       if (term != term_) return;
-      job* const owner = table_.find(job_id);
-      if (owner == nullptr) return;
+      job_entry* const committed = table_.find(job_id);
+      if (committed == nullptr) return;
       if (outcome == write_outcome::stored) {
-        table_.confirm(*owner);
+        table_.confirm_batch(*committed);
         log_line(log_level::info, k_part, "Results listed.",
                  {{"job", job_id},
-                  {"positions", owner->listed.size()},
-                  {"items", owner->samples.size()},
+                  {"positions", committed->listed.size()},
+                  {"items", committed->samples.size()},
                   {"epoch", dependencies_.lease.epoch()}});
         listed_.notify_all();
       } else {
-        table_.abandon_batch(*owner);
+        table_.abandon_batch(*committed);
       }
     });
   }
 }
 
-void pool_owner::forget_old(time_point now) {
+void pool_owner::forget_expired_jobs(time_point now) {
   std::vector<std::string> old;
-  for (auto const& [id, held] : table_.jobs()) {
-    if (held->recorded && !held->is_open() && now - held->accepted_at > dependencies_.retention)
+  for (auto const& [id, job] : table_.jobs()) {
+    if (job->recorded && !job->is_open() && now - job->accepted_at > dependencies_.retention)
       old.push_back(id);
   }
   for (std::string const& id : old) {
@@ -388,12 +388,12 @@
 awaitable<void> pool_owner::erase(std::string id) {
   std::string const pool = dependencies_.lease.resource();
   auto answer = co_await dependencies_.store.list(record_keys::data_prefix(pool, id));
-  // What is not erased now is erased by a later owner.
+  // Records that remain are erased by a later owner.
   if (!answer || state_ != owner_state::active) co_return;
   std::vector<std::string> keys;
   keys.push_back(record_keys::accepted_mark(pool, id));
   keys.push_back(record_keys::ended_mark(pool, id));
-  for (kv::key_value const& one : answer.value().entries) keys.push_back(one.key);
+  for (kv::key_value const& record : answer.value().entries) keys.push_back(record.key);
   log_.remove(std::move(keys));
 }
 
@@ -406,13 +406,13 @@
   co_await progress_.finish(table_, dependencies_.lease.epoch());
 }
 
-bool pool_owner::is_certain() const {
+bool pool_owner::is_authoritative() const {
   return state_ == owner_state::active && dependencies_.lease.holds(boot_clock::now());
 }
 
-bool pool_owner::may_send_again() const {
+bool pool_owner::may_resend() const {
   time_point const now = boot_clock::now();
-  return !permission_.may_be_succeeded(now, dependencies_.lease.holds(now));
+  return !run_permission_.may_have_successor(now, dependencies_.lease.holds(now));
 }
 
 bool pool_owner::can_read() const {
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -1,5 +1,5 @@
-/// @file The owner's side of a pool: accepts jobs, has their samples run, lists results. Active
-/// only while this node holds the pool's lease.
+/// @file Owner of a pool: accepts jobs, runs their samples and lists their results. Active only
+/// while this node holds the pool's lease.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 #include "engines/engine_board.h"
 #include "engines/engine_control.h"
 #include "engines/weight_orders.h"
+#include "jobs/iteration_timer.h"
 #include "jobs/job_table.h"
 #include "jobs/progress_replica.h"
 #include "jobs/read_budget.h"
 #include "jobs/record_log.h"
 #include "jobs/run_permission.h"
 #include "jobs/sample_runner.h"
-#include "jobs/turn_clock.h"
 #include "kv/record_store.h"
 #include "ownership/owner_lease.h"
 #include "schema/frostline_generated.h"
 
 namespace frostline::jobs {
 
-/// References outlive the owner.
+/// References must outlive the owner.
 struct pool_owner_dependencies {
   asio::io_context& context;
   kv::record_store& store;
@@ -44,19 +44,21 @@
   http::client& transport;
   std::string node;
   std::string zone;
-  /// Ended jobs are forgotten that long after they were accepted.
+  /// Closed jobs are deleted this long after their acceptance or loading.
   milliseconds retention{140'000};
 };
 
-/// standby -> loading (the lease was gained) -> active (the records are read) -> suspended (the
-/// lease lapsed and nobody else is known to hold it) -> loading or standby; loading -> standby;
-/// active -> standby (another node owns the pool).
+/// standby -> loading: the lease was acquired.
+/// loading -> active: the stored jobs are loaded; loading -> standby: the lease was lost.
+/// active -> suspended: the lease lapsed, and no other holder is known.
+/// suspended -> loading: the lease was acquired again.
+/// active or suspended -> standby: another node owns the pool.
 enum class owner_state { standby, loading, active, suspended };
 
 class pool_owner {
  public:
-  /// Results of jobs that change no more that other nodes get from the owner; beyond that they read
-  /// the record store. A seventh of a link of 60 Mbit/s.
+  /// Rate at which the owner sends results of closed jobs to other nodes; beyond it, they read the
+  /// record store themselves. Leaves most of a link of 60 Mbit/s to other traffic.
   static constexpr std::size_t k_read_bytes_per_second = 1 << 20;
 
   explicit pool_owner(pool_owner_dependencies dependencies);
@@ -67,94 +69,102 @@
   sample_runner const& runner() const { return runner_; }
   record_log const& log() const { return log_; }
   std::size_t jobs() { return table_.jobs().size(); }
-  /// Of the owner's loop, so far.
-  milliseconds longest_turn() const { return longest_turn_; }
+  /// Duration of the longest iteration of the owner's loop so far.
+  milliseconds longest_iteration() const { return longest_iteration_; }
 
-  /// One call of a submitter, on this node or passed on by another.
+  /// Handles a call of a submitter, made on this node or forwarded by another.
   awaitable<rpc::JobReplyT> handle(rpc::JobCallT call);
-  /// What the pool's owner reports to this node, or what a node holds of this owner's forerunner.
+  /// Takes a progress report: from the pool's owner to this replica, or from a replica of the
+  /// previous owner to this owner.
   rpc::ProgressReplyT replicate(rpc::ProgressReportT report);
-  /// Something outside changed: configuration, versions.
+  /// Wakes up the owner's loop, for example after a change of the configuration.
   void notify();
-  /// These servers may have changed, come or gone.
+  /// Notes servers that were added, changed or removed.
   void note_servers(std::vector<std::string> const& ids);
-  /// Stores what is finished, before the lease is handed on. Ends by `deadline`.
+  /// Commits finished results and replicates progress before the lease is handed over. Waits for
+  /// the commits until `deadline`.
   awaitable<void> flush(time_point deadline);
 
  private:
-  void gained();
-  void lost();
-  void drop_everything();
-  /// Tells what loads weights of a job that has come.
+  void on_lease_gained();
+  void on_lease_lost();
+  /// Returns to standby after another node has taken over the pool.
+  void drop_state();
+  /// Reports a job's demand to the planner of weight loads.
   void note_job(rpc::JobRecordT const& record);
+  /// Loads the pool's jobs after the lease was acquired, then becomes active.
   awaitable<void> load(std::uint64_t term);
   awaitable<bool> load_marks(std::uint64_t term);
-  /// Jobs that are being read, all at once.
+  /// Jobs that are being read concurrently.
   struct load_progress {
     std::vector<stored_job> jobs;
-    std::size_t left = 0;
+    std::size_t remaining = 0;
     bool failed = false;
   };
-  /// @return false if the store did not answer for one, or the term is over.
-  awaitable<bool> load_all(std::vector<std::string> ids, std::uint64_t term);
-  awaitable<void> read_into(std::string id, std::shared_ptr<load_progress> progress,
-                            std::size_t place);
-  /// Waits a while for an owner that reads its records, or whose lease has lapsed, to be ready.
+  /// Loads open jobs. @return false if a read failed or the term is over.
+  awaitable<bool> load_jobs(std::vector<std::string> ids, std::uint64_t term);
+  awaitable<void> read_job_into(std::string id, std::shared_ptr<load_progress> progress,
+                                std::size_t place);
+  /// Waits for a bounded time while the owner is loading or suspended.
   awaitable<void> wait_until_ready(rpc::JobCallT const& call);
-  /// A job's data; nothing if the store did not answer.
+  /// Reads a job's data; returns nothing if the store did not answer.
   awaitable<std::optional<stored_job>> read_stored(std::string id);
-  void take_stored(std::string const& id, stored_job stored);
-  /// Waits, for a bounded time, until the data of an ended job is read.
+  void restore_job(std::string const& id, stored_job stored);
+  /// Waits for a bounded time until the data of an ended job is loaded.
   awaitable<void> ensure_loaded(std::string id);
-  /// The answer to a call about an ended job whose data is not read; nothing if its data is needed.
-  std::optional<rpc::JobReplyT> answer_unread(rpc::JobCallT const& call);
-  /// Has the data of an ended job read: one after the other, since all at once would keep the
-  /// answers to this node's own writes waiting on its link.
-  void want_ended(std::string const& id);
-  awaitable<void> read_ended_loop(std::uint64_t term);
-  awaitable<void> read_ended(std::string id, std::uint64_t term);
+  /// Answers a call about an unloaded ended job from its mark; returns nothing if its data is
+  /// needed.
+  std::optional<rpc::JobReplyT> reply_from_mark(rpc::JobCallT const& call);
+  /// Queues an ended job for loading. Jobs are loaded one at a time, so that they don't delay this
+  /// node's writes.
+  void request_ended_job(std::string const& id);
+  awaitable<void> load_ended_jobs_loop(std::uint64_t term);
+  awaitable<void> load_ended_job(std::string id, std::uint64_t term);
   awaitable<void> advance_loop();
   void advance();
-  void refresh_terms();
-  /// What the owner keeps at the store, and orders.
-  void keep_records(turn_clock& clock, time_point now);
-  void note_turn(turn_clock const& clock);
+  /// Updates the settings of open jobs from the active configuration.
+  void refresh_policies();
+  /// Plans weight loads, commits results, and writes checkpoints.
+  void update_records(iteration_timer& timer, time_point now);
+  void log_slow_iteration(iteration_timer const& timer);
   void refresh_board();
-  void read_all_servers();
+  void rebuild_board();
   void commit_results(bool all);
-  /// Stores the progress of long runs now and then, for the case that this node and its replica are
-  /// lost together.
+  /// Stores the progress of long runs periodically, in case this node and its replicas are lost
+  /// together.
   void write_checkpoint(time_point now);
-  void forget_old(time_point now);
+  /// Deletes closed jobs that are past their retention.
+  void forget_expired_jobs(time_point now);
   awaitable<void> erase(std::string id);
   awaitable<rpc::JobReplyT> submit(rpc::JobCallT call);
-  /// Writes a job's record; its samples begin to run when that takes long.
+  /// Writes a job's record. Its samples start before the write completes if that takes long.
   void begin_submission(rpc::JobRecordT record);
-  /// Lets the samples of a job run whose record is still being written.
-  awaitable<void> run_ahead(std::uint64_t term, std::shared_ptr<rpc::JobRecordT> record);
-  /// Drops jobs whose record was never stored and that nobody submits any more.
+  /// Lets a job's samples run while its record is still being written.
+  awaitable<void> run_before_recorded(std::uint64_t term, std::shared_ptr<rpc::JobRecordT> record);
+  /// Drops old jobs whose record was not stored and is no longer being written.
   void drop_unrecorded(time_point now);
-  /// A job whose record is known to be stored.
-  job* find_recorded(std::string const& id);
+  /// The job if its record is known to be stored, null otherwise.
+  job_entry* find_recorded(std::string const& id);
   void accept(std::shared_ptr<rpc::JobRecordT> const& record);
   awaitable<rpc::JobReplyT> list(rpc::JobCallT call);
-  rpc::JobReplyT body(rpc::JobCallT const& call);
+  rpc::JobReplyT get_body(rpc::JobCallT const& call);
   awaitable<rpc::JobReplyT> end(rpc::JobCallT call);
-  /// Tells what an ended job had waited for.
-  void log_last_sample(job const& owner) const;
-  /// Gives what this node holds of a former owner to another node that follows it.
+  /// Logs the phase times of the sample that finished last.
+  void log_last_sample(job_entry const& job) const;
+  /// Sends this node's replica of the previous owner's progress to the new owner.
   void offer_replica();
   awaitable<void> send_offer(endpoint where, rpc::ProgressReportT report);
   void adopt(rpc::ProgressReportT const& report);
   bool can_read() const;
-  /// Whether what this node does not know does not exist: it holds the lease now.
-  bool is_certain() const;
-  /// Whether what is under way may be sent to a server once more.
-  bool may_send_again() const;
+  /// Returns true if a job unknown to this node does not exist, since its records are loaded and it
+  /// holds the lease.
+  bool is_authoritative() const;
+  /// Returns false if another owner may have taken over while this process was suspended.
+  bool may_resend() const;
 
   pool_owner_dependencies dependencies_;
   owner_state state_ = owner_state::standby;
-  /// Grows with each gain and loss; what began in an older term is ignored.
+  /// Incremented when the lease is acquired or lost; operations of older terms are ignored.
   std::uint64_t term_ = 0;
   engines::engine_board board_;
   engines::weight_orders orders_;
@@ -163,29 +173,30 @@
   sample_runner runner_;
   progress_replica replica_;
   progress_sender progress_;
+  /// Outcome of writing a job's end mark; null while the write is in flight.
+  std::map<std::string, std::shared_ptr<write_outcome const>> end_writes_;
   /// Jobs whose record is being written.
-  std::map<std::string, std::shared_ptr<write_outcome const>> writing_;
   std::map<std::string, bool> submitting_;
-  /// Ended jobs whose data has not been read, with what their marks say.
-  std::map<std::string, std::optional<rpc::JobEndT>> ended_unread_;
-  /// Those of them whose data somebody has asked for, the first to be read first.
-  std::deque<std::string> ended_wanted_;
-  bool reading_ended_ = false;
-  /// Results of jobs that change no more, sent to other nodes.
-  read_budget reads_{k_read_bytes_per_second};
+  /// Ended jobs whose data is not loaded, with the contents of their marks.
+  std::map<std::string, std::optional<rpc::JobEndT>> unloaded_ended_jobs_;
+  /// Those of them that are queued for loading.
+  std::deque<std::string> requested_ended_jobs_;
+  bool loading_ended_jobs_ = false;
+  /// Limits the results of closed jobs sent to other nodes.
+  read_budget read_budget_{k_read_bytes_per_second};
   async_condition work_;
   async_condition loaded_;
   async_condition listed_;
   async_condition written_;
   bool work_pending_ = false;
-  /// Servers that the board has not taken over yet; all of them if `board_is_old_`.
+  /// Servers to update on the board; all of them if `board_is_stale_`.
   std::set<std::string> changed_servers_;
-  milliseconds longest_turn_{0};
-  bool board_is_old_ = true;
+  milliseconds longest_iteration_{0};
+  bool board_is_stale_ = true;
   time_point orders_planned_at_{};
   time_point checkpoint_at_{};
-  run_permission permission_{boot_clock::now()};
-  /// Newest epoch of another owner that a replica told of.
+  run_permission run_permission_{boot_clock::now()};
+  /// Newest epoch of another owner that a replica reported.
   std::uint64_t newer_epoch_ = 0;
 };
 
--- a/src/jobs/pool_owner_calls.cc
+++ b/src/jobs/pool_owner_calls.cc
@@ -1,4 +1,4 @@
-/// @file The calls of submitters and of other nodes to a pool's owner.
+/// @file Calls to a pool's owner from submitters and from other nodes.
 
 #include <algorithm>
 
@@ -13,13 +13,13 @@
 constexpr std::string_view k_part = "jobs";
 constexpr milliseconds k_retry_after{250};
 constexpr milliseconds k_offer_timeout{1000};
-constexpr milliseconds k_longest_wait{1000};
-/// A job whose record is not stored after that long begins to run: many times what the store takes
-/// when it is well (4 ms), so that it is slow or out.
-constexpr milliseconds k_run_ahead_after{100};
-/// A job that was never stored is dropped after that long unless somebody submits it: more than
-/// submitters wait (12 s on all deployments so far).
-constexpr milliseconds k_longest_ahead{15'000};
+constexpr milliseconds k_max_list_wait{1000};
+/// A job starts to run if its record is not stored after this time. A healthy store takes a few
+/// milliseconds.
+constexpr milliseconds k_record_write_grace{100};
+/// An unrecorded job is dropped after this time unless its record is still being written. Longer
+/// than submitters wait.
+constexpr milliseconds k_unrecorded_job_timeout{15'000};
 
 rpc::JobReplyT reply_with(rpc::JobStatus status, std::string detail) {
   rpc::JobReplyT reply;
@@ -31,9 +31,10 @@
   return reply;
 }
 
-/// Whether the caller may know of this job. Records of before there were tenants name none.
-bool may_see(rpc::JobCallT const& call, job const& owner) {
-  return owner.record.tenant.empty() || owner.record.tenant == call.tenant;
+/// Returns true if the caller may see this job. Records that predate tenants have none and are
+/// visible to all.
+bool may_see(rpc::JobCallT const& call, job_entry const& job) {
+  return job.record.tenant.empty() || job.record.tenant == call.tenant;
 }
 
 }  // namespace
@@ -41,7 +42,8 @@
 rpc::ProgressReplyT pool_owner::replicate(rpc::ProgressReportT report) {
   rpc::ProgressReplyT reply;
   bool const own = state_ == owner_state::active || state_ == owner_state::suspended;
-  // Changes that a former owner still reports go on from what this node does not hold.
+  // Incremental reports of a previous owner are rejected, since this node lacks the texts that they
+  // continue.
   if (own && report.whole && report.epoch < dependencies_.lease.epoch()) {
     adopt(report);
     reply.taken = true;
@@ -58,19 +60,19 @@
     runner_.abort_run(progress->job, progress->index);
     ++adopted;
   }
-  log_line(log_level::info, k_part, "Progress of the former owner taken over.",
+  log_line(log_level::info, k_part, "Adopted progress of the previous owner.",
            {{"pool", report.pool}, {"former_epoch", report.epoch}, {"samples", adopted}});
   notify();
 }
 
 void pool_owner::offer_replica() {
   auto const& owner = dependencies_.lease.owner();
-  bool const followed =
+  bool const has_new_owner =
       owner && owner->node != dependencies_.node && owner->epoch > replica_.epoch();
-  if (state_ != owner_state::standby || !followed) return;
+  if (state_ != owner_state::standby || !has_new_owner) return;
   if (replica_.is_fresh(boot_clock::now())) {
     spawn(dependencies_.context,
-          send_offer(owner->address, replica_.whole(dependencies_.lease.resource())));
+          send_offer(owner->address, replica_.full_report(dependencies_.lease.resource())));
   }
   replica_.clear();
 }
@@ -98,7 +100,7 @@
     case rpc::JobAction::LIST:
       co_return co_await list(std::move(call));
     case rpc::JobAction::BODY:
-      co_return body(call);
+      co_return get_body(call);
     case rpc::JobAction::END:
       co_return co_await end(std::move(call));
   }
@@ -108,12 +110,12 @@
 void pool_owner::accept(std::shared_ptr<rpc::JobRecordT> const& record) {
   time_point const now = boot_clock::now();
   std::string const id = record->id;
-  job const* const ahead = table_.find(id);
-  milliseconds const ran_ahead{
-      ahead == nullptr
+  job_entry const* const unrecorded_job = table_.find(id);
+  milliseconds const unrecorded_time{
+      unrecorded_job == nullptr
           ? 0
-          : std::chrono::duration_cast<milliseconds>(now - ahead->accepted_at).count()};
-  if (ahead == nullptr) note_job(*record);
+          : std::chrono::duration_cast<milliseconds>(now - unrecorded_job->accepted_at).count()};
+  if (unrecorded_job == nullptr) note_job(*record);
   log_line(log_level::info, k_part, "Job accepted.",
            {{"job", id},
             {"model", record->model},
@@ -122,19 +124,20 @@
             {"newest_version", orders_.newest(record->model)},
             {"items", record->items.size()},
             {"desired", record->desired},
-            {"ran_ahead_ms", ran_ahead.count()},
+            {"ran_ahead_ms", unrecorded_time.count()},
             {"epoch", dependencies_.lease.epoch()}});
   table_.add(std::move(*record), now);
-  table_.note_recorded(id);
+  table_.mark_recorded(id);
   notify();
 }
 
-awaitable<void> pool_owner::run_ahead(std::uint64_t term, std::shared_ptr<rpc::JobRecordT> record) {
+awaitable<void> pool_owner::run_before_recorded(std::uint64_t term,
+                                                std::shared_ptr<rpc::JobRecordT> record) {
   std::string const id = record->id;
-  co_await wait_for(k_run_ahead_after);
-  // A job that was run ahead in an earlier term is in the table already.
+  co_await wait_for(k_record_write_grace);
+  // The job is in the table already if it was started in an earlier term.
   if (term != term_ || !submitting_.contains(id) || table_.find(id) != nullptr) co_return;
-  log_line(log_level::info, k_part, "Job runs while its record is written.",
+  log_line(log_level::info, k_part, "Job started before its record was stored.",
            {{"job", id}, {"items", record->items.size()}, {"epoch", dependencies_.lease.epoch()}});
   note_job(*record);
   table_.add_unrecorded(rpc::JobRecordT(*record), boot_clock::now());
@@ -142,9 +145,10 @@
 }
 
 void pool_owner::drop_unrecorded(time_point now) {
-  for (std::string const& id : table_.unrecorded(now - k_longest_ahead)) {
+  for (std::string const& id : table_.unrecorded_jobs(now - k_unrecorded_job_timeout)) {
     if (submitting_.contains(id)) continue;
-    log_line(log_level::warning, k_part, "Job was not accepted; its runs end.", {{"job", id}});
+    log_line(log_level::warning, k_part, "Dropped a job whose record was not stored.",
+             {{"job", id}});
     runner_.abort_runs(id);
     table_.forget(id);
   }
@@ -162,11 +166,11 @@
     }
     written_.notify_all();
   });
-  if (submitting_.contains(id)) spawn(dependencies_.context, run_ahead(term, record));
+  if (submitting_.contains(id)) spawn(dependencies_.context, run_before_recorded(term, record));
 }
 
-job* pool_owner::find_recorded(std::string const& id) {
-  job* const found = table_.find(id);
+job_entry* pool_owner::find_recorded(std::string const& id) {
+  job_entry* const found = table_.find(id);
   return found != nullptr && found->recorded ? found : nullptr;
 }
 
@@ -175,13 +179,13 @@
     co_return reply_with(rpc::JobStatus::INVALID, "no items");
   }
   std::string const id = call.record->id;
-  job const* const earlier = table_.find(id);
+  job_entry const* const earlier = table_.find(id);
   if (earlier != nullptr && !may_see(call, *earlier)) {
     co_return reply_with(rpc::JobStatus::INVALID, "the identifier is in use");
   }
-  bool const known = find_recorded(id) != nullptr || ended_unread_.contains(id);
+  bool const known = find_recorded(id) != nullptr || unloaded_ended_jobs_.contains(id);
   if (known && can_read()) co_return reply_with(rpc::JobStatus::OK, {});
-  // A job that runs already must not be refused: a refusal says that none of it runs.
+  // UNAVAILABLE would tell the caller that no part of the job runs.
   bool const runs = table_.find(id) != nullptr;
   if (state_ != owner_state::active) {
     co_return reply_with(runs ? rpc::JobStatus::OUTCOME_UNKNOWN : rpc::JobStatus::UNAVAILABLE,
@@ -197,131 +201,133 @@
 }
 
 awaitable<rpc::JobReplyT> pool_owner::list(rpc::JobCallT call) {
-  auto const wait = std::min(milliseconds(call.wait_ms), k_longest_wait);
+  auto const wait = std::min(milliseconds(call.wait_ms), k_max_list_wait);
   time_point const deadline = boot_clock::now() + wait;
   while (true) {
     if (!can_read()) co_return reply_with(rpc::JobStatus::UNAVAILABLE, "not the owner");
-    if (auto unread = answer_unread(call)) co_return std::move(*unread);
+    if (auto mark_reply = reply_from_mark(call)) co_return std::move(*mark_reply);
     co_await ensure_loaded(call.job);
-    job* const owner = table_.find(call.job);
-    if (owner == nullptr) {
-      bool const sure = is_certain() && !ended_unread_.contains(call.job);
-      co_return reply_with(sure ? rpc::JobStatus::UNKNOWN_JOB : rpc::JobStatus::UNAVAILABLE, {});
+    job_entry* const job = table_.find(call.job);
+    if (job == nullptr) {
+      bool const authoritative = is_authoritative() && !unloaded_ended_jobs_.contains(call.job);
+      co_return reply_with(
+          authoritative ? rpc::JobStatus::UNKNOWN_JOB : rpc::JobStatus::UNAVAILABLE, {});
     }
-    if (!may_see(call, *owner)) co_return reply_with(rpc::JobStatus::UNKNOWN_JOB, "not its tenant");
-    if (!owner->recorded) co_return reply_with(rpc::JobStatus::UNAVAILABLE, "not accepted yet");
+    if (!may_see(call, *job)) co_return reply_with(rpc::JobStatus::UNKNOWN_JOB, "not its tenant");
+    if (!job->recorded) co_return reply_with(rpc::JobStatus::UNAVAILABLE, "not accepted yet");
     bool const waiting =
-        owner->listed.size() <= call.after && boot_clock::now() < deadline && owner->is_open();
+        job->listed.size() <= call.after && boot_clock::now() < deadline && job->is_open();
     if (!waiting) break;
     co_await listed_.wait_until(deadline);
   }
-  job const& owner = *table_.find(call.job);
+  job_entry const& job = *table_.find(call.job);
   rpc::JobReplyT reply;
-  reply.total = owner.samples.size();
+  reply.total = job.samples.size();
   std::size_t bytes = 0;
-  for (std::size_t place = call.after; place < owner.listed.size(); ++place) {
-    rpc::SampleResultT const& result = owner.samples[owner.listed[place]].result;
+  for (std::size_t place = call.after; place < job.listed.size(); ++place) {
+    rpc::SampleResultT const& result = job.samples[job.listed[place]].result;
     bytes += reply_bytes(result);
-    if (bytes > k_longest_reply && !reply.results.empty()) break;
+    if (bytes > k_max_reply_bytes && !reply.results.empty()) break;
     reply.results.push_back(std::make_unique<rpc::SampleResultT>(result));
   }
-  bool const passed_on = !call.from_address.empty();
-  bool const final = !owner.is_open() && !reply.results.empty();
-  if (passed_on && final && !reads_.take(bytes, boot_clock::now())) {
+  bool const forwarded = !call.from_address.empty();
+  bool const final = !job.is_open() && !reply.results.empty();
+  if (forwarded && final && !read_budget_.take(bytes, boot_clock::now())) {
     reply.status = rpc::JobStatus::READ_RECORDS;
-    reply.listed = owner.listed.size();
+    reply.listed = job.listed.size();
     reply.results.clear();
   }
   co_return reply;
 }
 
-rpc::JobReplyT pool_owner::body(rpc::JobCallT const& call) {
+rpc::JobReplyT pool_owner::get_body(rpc::JobCallT const& call) {
   if (!can_read()) return reply_with(rpc::JobStatus::UNAVAILABLE, "not the owner");
-  job const* const owner = table_.find(call.job);
-  if (owner == nullptr && !is_certain()) {
+  job_entry const* const job = table_.find(call.job);
+  if (job == nullptr && !is_authoritative()) {
     return reply_with(rpc::JobStatus::UNAVAILABLE, "not the owner");
   }
-  if (owner != nullptr && !may_see(call, *owner)) {
+  if (job != nullptr && !may_see(call, *job)) {
     return reply_with(rpc::JobStatus::UNKNOWN_JOB, "not its tenant");
   }
-  if (owner != nullptr && !owner->recorded) {
+  if (job != nullptr && !job->recorded) {
     return reply_with(rpc::JobStatus::UNAVAILABLE, "not accepted yet");
   }
-  if (owner == nullptr || owner->ended) return reply_with(rpc::JobStatus::UNKNOWN_JOB, {});
-  for (sample const& one : owner->samples) {
-    if (one.spec->id != call.item) continue;
+  if (job == nullptr || job->ended) return reply_with(rpc::JobStatus::UNKNOWN_JOB, {});
+  for (sample_entry const& sample : job->samples) {
+    if (sample.spec->id != call.item) continue;
     rpc::JobReplyT reply;
-    reply.body = one.spec->body;
+    reply.body = sample.spec->body;
     return reply;
   }
   return reply_with(rpc::JobStatus::UNKNOWN_JOB, "no such item");
 }
 
-void pool_owner::log_last_sample(job const& owner) const {
-  auto const times = times_of_last_sample(owner);
+void pool_owner::log_last_sample(job_entry const& job) const {
+  auto const times = last_sample_times(job);
   if (!times) return;
-  sample const& one = owner.samples[times->index];
-  auto const since = std::chrono::duration_cast<milliseconds>(one.finished_at - owner.accepted_at);
-  log_line(log_level::info, k_part, "Job waited for this sample.",
-           {{"job", owner.record.id},
-            {"request", one.spec->id},
+  sample_entry const& sample = job.samples[times->index];
+  auto const since = std::chrono::duration_cast<milliseconds>(sample.finished_at - job.accepted_at);
+  log_line(log_level::info, k_part, "Last sample of the job.",
+           {{"job", job.record.id},
+            {"request", sample.spec->id},
             {"finished_after_ms", since.count()},
             {"waited_ms", times->waited.count()},
             {"ran_ms", times->ran.count()},
             {"scored_ms", times->scored.count()},
-            {"events", one.events},
-            {"runs", one.runs},
-            {"comes_again", one.comes_again ? "yes" : "no"},
-            {"listed", owner.listed.size()},
-            {"items", owner.samples.size()}});
+            {"events", sample.events},
+            {"runs", sample.runs},
+            {"comes_again", sample.resubmitted ? "yes" : "no"},
+            {"listed", job.listed.size()},
+            {"items", job.samples.size()}});
 }
 
 awaitable<rpc::JobReplyT> pool_owner::end(rpc::JobCallT call) {
   if (state_ != owner_state::active) {
     co_return reply_with(rpc::JobStatus::UNAVAILABLE, "not the owner");
   }
-  if (auto unread = answer_unread(call)) co_return std::move(*unread);
-  // The mark does not name its tenant, the record does.
+  if (auto mark_reply = reply_from_mark(call)) co_return std::move(*mark_reply);
+  // Marks of older versions lack the tenant, so the record is needed.
   if (!call.tenant.empty()) co_await ensure_loaded(call.job);
-  if (ended_unread_.contains(call.job)) {
+  if (unloaded_ended_jobs_.contains(call.job)) {
     bool const any_tenant = call.tenant.empty();
     co_return reply_with(any_tenant ? rpc::JobStatus::OK : rpc::JobStatus::UNAVAILABLE, {});
   }
-  job* const owner = table_.find(call.job);
-  if (owner != nullptr && !may_see(call, *owner)) {
+  job_entry* const job = table_.find(call.job);
+  if (job != nullptr && !may_see(call, *job)) {
     co_return reply_with(rpc::JobStatus::UNKNOWN_JOB, "not its tenant");
   }
-  if (owner == nullptr) {
-    auto const status = is_certain() ? rpc::JobStatus::UNKNOWN_JOB : rpc::JobStatus::UNAVAILABLE;
+  if (job == nullptr) {
+    auto const status =
+        is_authoritative() ? rpc::JobStatus::UNKNOWN_JOB : rpc::JobStatus::UNAVAILABLE;
     co_return reply_with(status, {});
   }
-  if (!owner->recorded) co_return reply_with(rpc::JobStatus::UNAVAILABLE, "not accepted yet");
-  if (owner->ended && !writing_.contains(call.job)) co_return reply_with(rpc::JobStatus::OK, {});
-  bool const lost = writing_.contains(call.job) && writing_[call.job] &&
-                    *writing_[call.job] != write_outcome::stored;
-  if (!owner->ended || lost) {
-    log_last_sample(*owner);
+  if (!job->recorded) co_return reply_with(rpc::JobStatus::UNAVAILABLE, "not accepted yet");
+  if (job->ended && !end_writes_.contains(call.job)) co_return reply_with(rpc::JobStatus::OK, {});
+  bool const write_lost = end_writes_.contains(call.job) && end_writes_[call.job] &&
+                          *end_writes_[call.job] != write_outcome::stored;
+  if (!job->ended || write_lost) {
+    log_last_sample(*job);
     table_.end(call.job);
     runner_.abort_runs(call.job);
-    writing_[call.job] = nullptr;
+    end_writes_[call.job] = nullptr;
     rpc::JobEndT end;
-    end.tenant = owner->record.tenant;
-    end.total = owner->samples.size();
+    end.tenant = job->record.tenant;
+    end.total = job->samples.size();
     log_.write_end(call.job, end, [this, id = call.job](write_outcome outcome) {
-      writing_[id] = std::make_shared<write_outcome const>(outcome);
+      end_writes_[id] = std::make_shared<write_outcome const>(outcome);
       written_.notify_all();
     });
   }
   time_point const deadline = boot_clock::now() + milliseconds(call.deadline_ms);
-  while (writing_.contains(call.job) && !writing_[call.job] && boot_clock::now() < deadline) {
+  while (end_writes_.contains(call.job) && !end_writes_[call.job] && boot_clock::now() < deadline) {
     co_await written_.wait_until(deadline);
   }
-  auto const found = writing_.find(call.job);
-  bool const pending = found != writing_.end() && !found->second;
+  auto const found = end_writes_.find(call.job);
+  bool const pending = found != end_writes_.end() && !found->second;
   bool const stored =
-      found == writing_.end() || (found->second && *found->second == write_outcome::stored);
+      found == end_writes_.end() || (found->second && *found->second == write_outcome::stored);
   if (!pending && stored) {
-    writing_.erase(call.job);
+    end_writes_.erase(call.job);
     log_line(log_level::info, k_part, "Job ended.",
              {{"job", call.job}, {"epoch", dependencies_.lease.epoch()}});
     notify();
--- a/src/jobs/progress_replica.h
+++ b/src/jobs/progress_replica.h
@@ -1,5 +1,5 @@
-/// @file Copies of an owner's unfinished and unstored work on other nodes, so that whoever follows
-/// the owner goes on instead of beginning anew.
+/// @file Replication of an owner's unfinished and unstored work to other nodes, so that the next
+/// owner resumes it instead of starting over.
 #pragma once
 
 #include <functional>
@@ -18,86 +18,85 @@
 
 namespace frostline::jobs {
 
-/// What a node holds of another node's pool. Pure.
+/// A replica of the progress of a pool owned by another node. Reads no clock.
 class progress_replica {
  public:
-  /// @return whether the report could be taken; if not, it must come whole.
+  /// @return true if the report was applied; otherwise the owner must send full texts.
   bool take(rpc::ProgressReportT report, time_point now);
-  /// Whether the owner has reported lately.
+  /// Returns true if the owner has reported recently.
   bool is_fresh(time_point now) const;
-  /// Progress of a job's samples, with their whole texts.
-  std::vector<rpc::SampleProgressT> of_job(std::string const& job) const;
-  /// All that is held, for the owner that follows.
-  rpc::ProgressReportT whole(std::string const& pool) const;
+  /// Progress of a job's samples, with their full texts.
+  std::vector<rpc::SampleProgressT> job_progress(std::string const& job) const;
+  /// The whole replica as one report, for the next owner.
+  rpc::ProgressReportT full_report(std::string const& pool) const;
   std::uint64_t epoch() const { return epoch_; }
   void clear();
 
  private:
   struct held_progress {
-    /// Of the owner that reported it.
+    /// Epoch of the owner that reported the progress.
     std::uint64_t epoch = 0;
     rpc::SampleProgressT progress;
   };
-  /// The text that `entry` goes on from; nothing if it is not held. Only a report of the same owner
-  /// and the same generation goes on from a text.
-  std::optional<std::string> text_before(rpc::SampleProgressT const& entry,
-                                         std::uint64_t epoch) const;
+  /// The stored text that `entry` continues; nothing if there is none. A report continues a text
+  /// only of the same owner and generation.
+  std::optional<std::string> find_text_prefix(rpc::SampleProgressT const& entry,
+                                              std::uint64_t epoch) const;
 
   std::map<std::string, std::map<std::uint32_t, held_progress>> jobs_;
   std::uint64_t epoch_ = 0;
-  time_point heard_at_{};
+  time_point last_report_at_{};
 };
 
-/// Sends the owner's progress to a few other nodes, one report at a time.
+/// Sends the owner's progress to its replicas, one report at a time.
 class progress_sender {
  public:
-  /// Nodes that hold a copy while the store takes what is done: then little is lost with both.
-  static constexpr std::size_t k_copies = 1;
-  /// While it does not: an owner that froze in an outage together with the only copy took 149
-  /// samples of 160 along that were done. Two copies at all times cost 0.002 to 0.003 of the worth
-  /// of days on which nothing of the kind happens (six plays a day of one deployment; within the
-  /// noise of two others).
-  static constexpr std::size_t k_copies_in_outage = 2;
+  /// Number of replicas while the store is available.
+  static constexpr std::size_t k_replicas = 1;
+  /// Number of replicas during an outage of the store, when finished results exist only on the
+  /// owner and its replicas.
+  static constexpr std::size_t k_replicas_in_outage = 2;
 
   progress_sender(asio::io_context& context, http::client& transport, std::string pool,
                   std::string zone)
       : context_(context), transport_(transport), pool_(std::move(pool)), zone_(std::move(zone)) {}
 
-  /// `listener` runs with the epoch of another owner when the replica knows one that is newer.
+  /// Sets the listener that is called when a replica reports a newer owner's epoch.
   void on_newer_owner(std::function<void(std::uint64_t)> listener) {
     on_newer_owner_ = std::move(listener);
   }
-  /// A node of whose life this one has just heard.
-  /// @param uptime of its process.
-  /// @param processor_share of a core that it may use.
+  /// Records that a peer is alive.
+  /// @param uptime of the peer's process.
+  /// @param processor_share share of a core that the peer may use.
   void note_peer(endpoint const& where, std::string const& zone, milliseconds uptime,
                  double processor_share, time_point now);
-  /// Sends what has changed if none is under way and it is time.
-  /// @param copies nodes that are to hold a copy now.
+  /// Sends the changes if a report is due and none is in flight.
+  /// @param copies wanted number of replicas.
   void advance(job_table& table, std::uint64_t epoch, std::size_t copies, time_point now);
-  /// Sends what is left and waits for the answer.
+  /// Sends the remaining changes and waits for the replies.
   awaitable<void> finish(job_table& table, std::uint64_t epoch);
-  /// A new term of ownership: the next report is whole.
+  /// Starts a new term of ownership; the next report holds full texts.
   void begin_term();
 
  private:
   struct peer {
     std::string zone;
     double processor_share = 0;
-    time_point heard_at{};
+    time_point last_seen_at{};
     time_point started_at{};
-    /// Not chosen before.
-    time_point avoided_until = time_point::min();
+    /// Not chosen as a replica before this time.
+    time_point backoff_until = time_point::min();
   };
 
   using shared_report = std::shared_ptr<rpc::ProgressReportT const>;
 
-  /// Chooses the nodes to send to. The strongest come first, since they will be asked to follow. Of
-  /// these, a process that is much younger than the others comes first: where nodes are restarted
-  /// in turn, it is the last to go. Then the present ones, those of the own zone, any.
+  /// Chooses the replicas. Prefers nodes with the largest processor share, since they are preferred
+  /// as the next owner; then processes that started much later, since a rolling restart reaches
+  /// them last; then current replicas; then nodes in the same zone.
   void choose_replicas(std::size_t copies, time_point now);
-  /// The best of those that are not taken.
-  std::optional<endpoint> choose_one(std::set<endpoint> const& taken, time_point now) const;
+  /// The best eligible peer outside `excluded`.
+  std::optional<endpoint> choose_best_peer(std::set<endpoint> const& excluded,
+                                           time_point now) const;
   rpc::ProgressReportT make_report(job_table& table, std::uint64_t epoch);
   /// Sends one report to all replicas.
   void send_to_all(rpc::ProgressReportT report);
@@ -109,15 +108,15 @@
   std::string pool_;
   std::string zone_;
   std::map<endpoint, peer> peers_;
-  /// Whether `left` follows this node better than `right`.
+  /// Returns true if `left` is a better replica than `right`.
   bool is_better(endpoint const& left, endpoint const& right) const;
 
   std::set<endpoint> replicas_;
-  /// Replicas that have not answered the report that is under way.
-  std::size_t unanswered_ = 0;
-  /// The next report must be whole.
-  bool whole_ = true;
-  time_point sent_at_{};
+  /// Replicas that have not answered the in-flight report.
+  std::size_t pending_replies_ = 0;
+  /// The next report must hold full texts.
+  bool send_full_report_ = true;
+  time_point last_sent_at_{};
   std::function<void(std::uint64_t)> on_newer_owner_;
 };
 
--- a/src/jobs/read_budget.h
+++ b/src/jobs/read_budget.h
@@ -1,5 +1,4 @@
-/// @file How many bytes of results an owner hands to other nodes before it asks them to read the
-/// stored records themselves. Pure.
+/// @file Token bucket that limits the rate of bytes sent to other nodes. Reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -9,18 +8,18 @@
 
 namespace frostline::jobs {
 
-/// Bytes a second, with a burst of one second's worth.
+/// Refills continuously and allows bursts of one second's worth of bytes.
 class read_budget {
  public:
   explicit read_budget(std::size_t bytes_per_second)
-      : rate_(static_cast<double>(bytes_per_second)), left_(rate_) {}
+      : rate_(static_cast<double>(bytes_per_second)), available_(rate_) {}
 
-  /// Takes `bytes`. @return false if the budget is used up; nothing is taken then.
+  /// Takes `bytes` from the bucket. @return false, taking nothing, if too few are left.
   bool take(std::size_t bytes, time_point now) {
     refill(now);
-    // A reply larger than the whole budget goes when the budget is full.
-    if (left_<rate_&& static_cast<double>(bytes)> left_) return false;
-    left_ -= static_cast<double>(bytes);
+    // A reply larger than the whole bucket is allowed when the bucket is full.
+    if (available_<rate_&& static_cast<double>(bytes)> available_) return false;
+    available_ -= static_cast<double>(bytes);
     return true;
   }
 
@@ -29,11 +28,11 @@
     if (now <= refilled_at_) return;
     std::chrono::duration<double> const passed = now - refilled_at_;
     refilled_at_ = now;
-    left_ = std::min(rate_, left_ + rate_ * passed.count());
+    available_ = std::min(rate_, available_ + rate_ * passed.count());
   }
 
   double rate_;
-  double left_;
+  double available_;
   time_point refilled_at_{};
 };
 
--- a/src/jobs/record_log.cc
+++ b/src/jobs/record_log.cc
@@ -22,9 +22,9 @@
 constexpr std::string_view k_accepted = "/accepted";
 constexpr std::string_view k_ended = "/ended";
 constexpr char k_mark_value[] = "1";
-constexpr milliseconds k_retry_pause{120};
-constexpr milliseconds k_waited_pause{5};
-/// Rooms left in a transaction's body for keys and framing.
+constexpr milliseconds k_retry_delay{120};
+constexpr milliseconds k_retry_delay_after_timeout{5};
+/// Limit of the values in one transaction, which leaves space for keys and framing.
 constexpr std::size_t k_group_bytes = 4 << 20;
 
 std::string padded(std::uint64_t number) {
@@ -34,10 +34,10 @@
 }
 
 kv::operation put(std::string key, std::string value) {
-  kv::operation one;
-  one.key = std::move(key);
-  one.value = std::move(value);
-  return one;
+  kv::operation operation;
+  operation.key = std::move(key);
+  operation.value = std::move(value);
+  return operation;
 }
 
 }  // namespace
@@ -79,14 +79,14 @@
 
 stored_marks read_marks(std::string const& pool, std::vector<kv::key_value> const& records) {
   std::size_t const prefix = record_keys::marks_prefix(pool).size();
-  // Several jobs may be accepted in one transaction, and so at one revision.
+  // Jobs accepted in one transaction have the same revision.
   std::set<std::pair<kv::revision, std::string>> accepted;
   std::map<std::string, std::optional<rpc::JobEndT>> ended;
-  for (kv::key_value const& one : records) {
-    std::string const rest = one.key.substr(std::min(prefix, one.key.size()));
+  for (kv::key_value const& record : records) {
+    std::string const rest = record.key.substr(std::min(prefix, record.key.size()));
     std::string const job = rest.substr(0, rest.find('/'));
-    if (rest.ends_with(k_accepted)) accepted.emplace(one.create_revision, job);
-    if (rest.ends_with(k_ended)) ended[job] = rpc::decode<rpc::JobEndT>(one.value);
+    if (rest.ends_with(k_accepted)) accepted.emplace(record.create_revision, job);
+    if (rest.ends_with(k_ended)) ended[job] = rpc::decode<rpc::JobEndT>(record.value);
   }
   stored_marks marks;
   for (auto const& [revision, job] : accepted) {
@@ -103,10 +103,10 @@
 stored_job read_job(std::string const& pool, std::string const& job,
                     std::vector<kv::key_value> const& records) {
   std::size_t const prefix = record_keys::data_prefix(pool, job).size();
-  // Keys come in order, so the parts of a record and the results do, too.
+  // Sorting by key restores the order of record parts, results and checkpoints.
   std::map<std::string, std::string> sorted;
-  for (kv::key_value const& one : records) {
-    sorted[one.key.substr(std::min(prefix, one.key.size()))] = one.value;
+  for (kv::key_value const& record : records) {
+    sorted[record.key.substr(std::min(prefix, record.key.size()))] = record.value;
   }
   stored_job found;
   std::string record;
@@ -144,86 +144,88 @@
   ++session_;
   std::deque<entry> dropped;
   dropped.swap(queue_);
-  for (entry& one : dropped) {
-    if (one.on_done) one.on_done(write_outcome::ownership_lost);
+  for (entry& queued : dropped) {
+    if (queued.on_done) queued.on_done(write_outcome::ownership_lost);
   }
 }
 
-void record_log::enqueue(entry one) {
+void record_log::enqueue(entry new_entry) {
   if (!open_) {
-    if (one.on_done) one.on_done(write_outcome::ownership_lost);
+    if (new_entry.on_done) new_entry.on_done(write_outcome::ownership_lost);
     return;
   }
-  for (kv::operation const& operation : one.operations) one.bytes += operation.value.size();
-  queue_.push_back(std::move(one));
+  for (kv::operation const& operation : new_entry.operations)
+    new_entry.bytes += operation.value.size();
+  queue_.push_back(std::move(new_entry));
   if (writing_) return;
   writing_ = true;
   spawn(context_, write_loop(session_));
 }
 
-void record_log::write_record(rpc::JobRecordT const& record, done on_done) {
+void record_log::write_record(rpc::JobRecordT const& record, completion_handler on_done) {
   std::string const bytes = rpc::encode(record);
-  entry one;
-  one.on_done = std::move(on_done);
+  entry new_entry;
+  new_entry.on_done = std::move(on_done);
   std::size_t const limit = value_limit();
   for (std::size_t part = 0; part * limit < bytes.size(); ++part) {
-    one.operations.push_back(
+    new_entry.operations.push_back(
         put(record_keys::record(pool_, record.id, part), bytes.substr(part * limit, limit)));
   }
-  one.operations.push_back(put(record_keys::accepted_mark(pool_, record.id), k_mark_value));
-  if (one.operations.size() + 1 > limits_.operations_per_transaction / 2) {
-    one.on_done(write_outcome::too_large);
+  new_entry.operations.push_back(put(record_keys::accepted_mark(pool_, record.id), k_mark_value));
+  if (new_entry.operations.size() + 1 > limits_.operations_per_transaction / 2) {
+    new_entry.on_done(write_outcome::too_large);
     return;
   }
-  enqueue(std::move(one));
+  enqueue(std::move(new_entry));
 }
 
-void record_log::write_results(rpc::ResultBatchT const& batch, done on_done) {
-  entry one;
-  one.on_done = std::move(on_done);
-  one.operations.push_back(
+void record_log::write_results(rpc::ResultBatchT const& batch, completion_handler on_done) {
+  entry new_entry;
+  new_entry.on_done = std::move(on_done);
+  new_entry.operations.push_back(
       put(record_keys::results(pool_, batch.job, batch.first), rpc::encode(batch)));
-  enqueue(std::move(one));
+  enqueue(std::move(new_entry));
 }
 
-void record_log::write_end(std::string const& job, rpc::JobEndT const& end, done on_done) {
-  entry one;
-  one.on_done = std::move(on_done);
-  one.operations.push_back(put(record_keys::ended_mark(pool_, job), rpc::encode(end)));
-  enqueue(std::move(one));
+void record_log::write_end(std::string const& job, rpc::JobEndT const& end,
+                           completion_handler on_done) {
+  entry new_entry;
+  new_entry.on_done = std::move(on_done);
+  new_entry.operations.push_back(put(record_keys::ended_mark(pool_, job), rpc::encode(end)));
+  enqueue(std::move(new_entry));
 }
 
 void record_log::write_checkpoint(rpc::ProgressReportT const& report) {
-  entry one;
+  entry new_entry;
   std::string key = record_keys::progress(pool_, report.jobs.front(), epoch_, ++checkpoints_);
-  one.operations.push_back(put(std::move(key), rpc::encode(report)));
-  enqueue(std::move(one));
+  new_entry.operations.push_back(put(std::move(key), rpc::encode(report)));
+  enqueue(std::move(new_entry));
 }
 
 void record_log::remove(std::vector<std::string> keys) {
-  entry one;
+  entry new_entry;
   for (std::string& key : keys) {
     kv::operation removal;
     removal.kind = kv::operation_kind::remove;
     removal.key = std::move(key);
-    one.operations.push_back(std::move(removal));
-    if (one.operations.size() + 1 < limits_.operations_per_transaction / 2) continue;
-    enqueue(std::move(one));
-    one = entry();
+    new_entry.operations.push_back(std::move(removal));
+    if (new_entry.operations.size() + 1 < limits_.operations_per_transaction / 2) continue;
+    enqueue(std::move(new_entry));
+    new_entry = entry();
   }
-  if (!one.operations.empty()) enqueue(std::move(one));
+  if (!new_entry.operations.empty()) enqueue(std::move(new_entry));
 }
 
 std::vector<record_log::entry> record_log::take_group() {
   std::vector<entry> group;
-  // Each operation may need a comparison of its own, besides that of the owner's record.
-  std::size_t rooms = limits_.operations_per_transaction - 1;
+  // Each operation may need its own comparison, in addition to that of the owner's record.
+  std::size_t operations_left = limits_.operations_per_transaction - 1;
   std::size_t bytes = 0;
   while (!queue_.empty()) {
     entry& next = queue_.front();
     std::size_t const needed = next.operations.size() * 2;
-    if (!group.empty() && (needed > rooms || bytes + next.bytes > k_group_bytes)) break;
-    rooms -= std::min(needed, rooms);
+    if (!group.empty() && (needed > operations_left || bytes + next.bytes > k_group_bytes)) break;
+    operations_left -= std::min(needed, operations_left);
     bytes += next.bytes;
     group.push_back(std::move(next));
     queue_.pop_front();
@@ -234,8 +236,8 @@
 kv::transaction record_log::make_transaction(std::vector<entry> const& group) const {
   kv::transaction change;
   change.compares.push_back({owner_key_, epoch_});
-  for (entry const& one : group) {
-    for (kv::operation const& operation : one.operations) {
+  for (entry const& queued : group) {
+    for (kv::operation const& operation : queued.operations) {
       if (operation.kind == kv::operation_kind::put) change.compares.push_back({operation.key, 0});
       change.on_success.push_back(operation);
     }
@@ -243,14 +245,14 @@
   return change;
 }
 
-bool record_log::shows_own_write(kv::transaction const& change,
-                                 std::vector<kv::key_value> const& current) const {
+bool record_log::proves_own_write(kv::transaction const& change,
+                                  std::vector<kv::key_value> const& current) const {
   std::map<std::string, kv::key_value const*> by_key;
-  for (kv::key_value const& one : current) by_key[one.key] = &one;
-  for (kv::compare const& one : change.compares) {
-    auto const found = by_key.find(one.key);
+  for (kv::key_value const& record : current) by_key[record.key] = &record;
+  for (kv::compare const& compare : change.compares) {
+    auto const found = by_key.find(compare.key);
     bool const exists = found != by_key.end() && found->second->mod_revision != 0;
-    if (one.key == owner_key_) {
+    if (compare.key == owner_key_) {
       if (!exists || found->second->mod_revision != epoch_) return false;
     } else if (!exists) {
       return false;
@@ -263,29 +265,29 @@
                                               std::uint64_t session) {
   for (std::size_t tries = 0; session == session_; ++tries) {
     ++transactions_;
-    time_point const asked = boot_clock::now();
-    auto outcome = co_await store_.apply(change, patience_.wait(bytes, tries));
+    time_point const sent_at = boot_clock::now();
+    auto outcome = co_await store_.apply(change, write_timeout_.timeout_for(bytes, tries));
     if (session != session_) co_return false;
-    auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - asked);
+    auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - sent_at);
     if (outcome) {
-      patience_.note_answer(spent);
+      write_timeout_.note_answer(spent);
       bool const stored =
-          outcome.value().succeeded || shows_own_write(change, outcome.value().read);
+          outcome.value().succeeded || proves_own_write(change, outcome.value().read);
       if (!stored) {
-        log_line(log_level::warning, k_part, "Write refused: not the owner any more.",
+        log_line(log_level::warning, k_part, "Write rejected: no longer the owner.",
                  {{"pool", pool_}, {"epoch", epoch_}});
       }
       co_return stored;
     }
-    log_line(log_level::warning, k_part, "Write has no outcome yet; trying again.",
+    log_line(log_level::warning, k_part, "Write outcome unknown; retrying.",
              {{"pool", pool_},
               {"epoch", epoch_},
               {"error", outcome.error().message()},
               {"after_ms", spent.count()},
               {"tries", tries + 1}});
-    // A store that refuses at once is not pressed; one that was waited for in vain is asked again.
-    bool const waited = spent >= write_patience::k_shortest;
-    co_await wait_for(waited ? k_waited_pause : with_jitter(k_retry_pause));
+    // Backs off after an immediate failure. After a timeout, enough time has passed already.
+    bool const waited = spent >= write_timeout_estimator::k_min_timeout;
+    co_await wait_for(waited ? k_retry_delay_after_timeout : with_jitter(k_retry_delay));
   }
   co_return false;
 }
@@ -294,11 +296,11 @@
   while (session == session_ && !queue_.empty()) {
     std::vector<entry> group = take_group();
     std::size_t bytes = 0;
-    for (entry const& one : group) bytes += one.bytes;
+    for (entry const& queued : group) bytes += queued.bytes;
     bool const stored = co_await apply_until_known(make_transaction(group), bytes, session);
-    for (entry& one : group) {
-      if (!one.on_done) continue;
-      one.on_done(stored ? write_outcome::stored : write_outcome::ownership_lost);
+    for (entry& queued : group) {
+      if (!queued.on_done) continue;
+      queued.on_done(stored ? write_outcome::stored : write_outcome::ownership_lost);
     }
   }
   if (session == session_) writing_ = false;
--- a/src/jobs/record_log.h
+++ b/src/jobs/record_log.h
@@ -1,5 +1,6 @@
-/// @file Writes a pool's jobs, results and ends to the record store: one transaction at a time,
-/// each repeated until its outcome is known, so that what was acknowledged is stored exactly once.
+/// @file Writes a pool's jobs, results and end marks to the record store. Runs one transaction at a
+/// time and retries it until its outcome is known, so that each acknowledged entry is stored
+/// exactly once.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +12,23 @@
 #include <vector>
 
 #include "base/asio.h"
-#include "jobs/write_patience.h"
+#include "jobs/write_timeout_estimator.h"
 #include "kv/record_store.h"
 #include "schema/frostline_generated.h"
 
 namespace frostline::jobs {
 
-/// How an entry's writing ended.
+/// Outcome of writing an entry.
 enum class write_outcome {
   stored,
-  /// This node is not the owner any more: what came of the entry is unknown.
+  /// This node is no longer the owner; the entry may or may not be stored.
   ownership_lost,
-  /// It is larger than the store takes; nothing was written.
+  /// The entry exceeds the store's limits; nothing was written.
   too_large,
 };
 
-/// Keys of a pool's records. Marks are small and listed as a whole; the data of a job is read only
-/// when it is needed.
+/// Keys of a pool's records. Marks are small, so all of a pool's are listed at once; the data of a
+/// job is read on demand.
 struct record_keys {
   static std::string marks_prefix(std::string const& pool);
   static std::string accepted_mark(std::string const& pool, std::string const& job);
@@ -36,28 +37,28 @@
   static std::string record(std::string const& pool, std::string const& job, std::size_t part);
   static std::string results_prefix(std::string const& pool, std::string const& job);
   static std::string results(std::string const& pool, std::string const& job, std::uint64_t first);
-  /// @param sequence counts an owner's checkpoints.
+  /// @param sequence number of the checkpoint within the owner's epoch.
   static std::string progress(std::string const& pool, std::string const& job, std::uint64_t epoch,
                               std::uint64_t sequence);
 };
 
-/// A pool's jobs by their marks, in the order in which they were accepted.
+/// A pool's jobs according to their marks; open jobs in the order of acceptance.
 struct stored_marks {
   std::vector<std::string> open;
-  /// With what their marks say of them; marks of older versions say nothing.
+  /// Ended jobs with the contents of their marks; marks of older versions have none.
   std::map<std::string, std::optional<rpc::JobEndT>> ended;
 };
 
-/// The data of one job.
+/// Stored data of one job.
 struct stored_job {
   std::optional<rpc::JobRecordT> record;
   std::vector<rpc::ResultBatchT> batches;
-  /// Progress of its long runs, in the order in which it was written.
+  /// Progress of long runs, in the order of writing.
   std::vector<rpc::ProgressReportT> checkpoints;
 };
 
 stored_marks read_marks(std::string const& pool, std::vector<kv::key_value> const& records);
-/// Malformed records are left out.
+/// Malformed records are skipped.
 stored_job read_job(std::string const& pool, std::string const& job,
                     std::vector<kv::key_value> const& records);
 
@@ -66,44 +67,47 @@
   record_log(asio::io_context& context, kv::record_store& store, kv::store_limits limits,
              std::string pool);
 
-  /// Begins to write as the owner of this epoch.
-  /// @param owner_key its record must have this revision for any write to take effect.
+  /// Starts writing as the owner of this epoch.
+  /// @param owner_key key of the owner's record; writes take effect only while its revision is
+  /// `epoch`.
   void open(std::string owner_key, std::uint64_t epoch);
-  /// Ends what is queued with ownership_lost.
+  /// Stops writing and completes all queued entries with ownership_lost.
   void close();
 
-  using done = std::function<void(write_outcome)>;
-  void write_record(rpc::JobRecordT const& record, done on_done);
-  void write_results(rpc::ResultBatchT const& batch, done on_done);
-  void write_end(std::string const& job, rpc::JobEndT const& end, done on_done);
-  /// Progress of one job's samples. What is lost of it is begun anew: nobody waits for it.
+  using completion_handler = std::function<void(write_outcome)>;
+  void write_record(rpc::JobRecordT const& record, completion_handler on_done);
+  void write_results(rpc::ResultBatchT const& batch, completion_handler on_done);
+  void write_end(std::string const& job, rpc::JobEndT const& end, completion_handler on_done);
+  /// Writes the progress of one job's samples without reporting the outcome: a lost checkpoint only
+  /// costs a rerun.
   void write_checkpoint(rpc::ProgressReportT const& report);
-  /// Removes records that nobody may ask for any more.
+  /// Removes records of forgotten jobs.
   void remove(std::vector<std::string> keys);
 
   bool is_idle() const { return queue_.empty() && !writing_; }
   std::uint64_t transactions() const { return transactions_; }
-  /// Largest value that fits one record.
+  /// Largest value that fits in one record, in bytes.
   std::size_t value_limit() const;
 
  private:
   struct entry {
     std::vector<kv::operation> operations;
     std::size_t bytes = 0;
-    done on_done;
+    completion_handler on_done;
   };
 
-  void enqueue(entry one);
+  void enqueue(entry new_entry);
   awaitable<void> write_loop(std::uint64_t session);
   std::vector<entry> take_group();
   kv::transaction make_transaction(std::vector<entry> const& group) const;
-  /// Applies the transaction until its outcome is known. @return whether it is stored.
-  /// @param bytes of its values.
+  /// Retries the transaction until its outcome is known. @return true if it is stored.
+  /// @param bytes of the transaction's values.
   awaitable<bool> apply_until_known(kv::transaction change, std::size_t bytes,
                                     std::uint64_t session);
-  /// Whether a failed comparison means that an earlier try of the same transaction took effect.
-  bool shows_own_write(kv::transaction const& change,
-                       std::vector<kv::key_value> const& current) const;
+  /// Returns true if the comparisons failed because an earlier try of the same transaction took
+  /// effect.
+  bool proves_own_write(kv::transaction const& change,
+                        std::vector<kv::key_value> const& current) const;
 
   asio::io_context& context_;
   kv::record_store& store_;
@@ -111,12 +115,12 @@
   std::string pool_;
   std::string owner_key_;
   std::uint64_t epoch_ = 0;
-  /// Grows with each open and close; a loop of an older session ends.
+  /// Incremented by open and close; the write loop of an older session stops.
   std::uint64_t session_ = 0;
   bool open_ = false;
   bool writing_ = false;
   std::deque<entry> queue_;
-  write_patience patience_;
+  write_timeout_estimator write_timeout_;
   std::uint64_t transactions_ = 0;
   std::uint64_t checkpoints_ = 0;
 };
--- a/src/jobs/result_reader.cc
+++ b/src/jobs/result_reader.cc
@@ -5,7 +5,7 @@
 namespace frostline::jobs {
 namespace {
 
-/// Room for a result's names, versions and framing.
+/// Estimated size of a result's identifier, versions and framing.
 constexpr std::size_t k_result_overhead = 160;
 
 }  // namespace
@@ -21,7 +21,7 @@
   std::size_t bytes = 0;
   std::uint64_t position = 0;
   for (rpc::ResultBatchT& batch : batches) {
-    // A gap would show results at positions that are not theirs.
+    // Results after a gap would appear at wrong positions.
     if (batch.first != position) break;
     position += batch.results.size();
     for (std::size_t place = 0; place < batch.results.size(); ++place) {
@@ -40,7 +40,7 @@
   auto answer = co_await store.list(record_keys::results_prefix(pool, job));
   if (!answer) co_return std::nullopt;
   stored_job stored = read_job(pool, job, answer.value().entries);
-  co_return take_results(std::move(stored.batches), after, total, k_longest_reply);
+  co_return take_results(std::move(stored.batches), after, total, k_max_reply_bytes);
 }
 
 }  // namespace frostline::jobs
--- a/src/jobs/result_reader.h
+++ b/src/jobs/result_reader.h
@@ -1,5 +1,5 @@
-/// @file Reads the results of a job that changes no more straight from the record store, so that
-/// its owner need not send them. What is stored at a position is final, so any node may.
+/// @file Reads the results of a closed job directly from the record store, to take load off the
+/// pool's owner. Any node may do so, since the result stored at a position is final.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,17 @@
 
 namespace frostline::jobs {
 
-/// Results from position `after` on: at least one if there is one, at most about `limit` bytes.
-/// @param batches as they are stored, in the order of their positions.
+/// Returns results from position `after` on: about `limit` bytes at most, but at least one result
+/// if there is any.
+/// @param batches as stored, in the order of their positions.
 rpc::JobReplyT take_results(std::vector<rpc::ResultBatchT> batches, std::uint64_t after,
                             std::uint64_t total, std::size_t limit);
 
-/// Bytes that a result takes in a reply, about.
+/// Approximate size of a result in a reply, in bytes.
 std::size_t reply_bytes(rpc::SampleResultT const& result);
 
-/// Longest reply to a reader.
-constexpr std::size_t k_longest_reply = 900 * 1024;
+/// Limit of the results in one reply, in bytes.
+constexpr std::size_t k_max_reply_bytes = 900 * 1024;
 
 /// @return nothing if the store does not answer.
 awaitable<std::optional<rpc::JobReplyT>> read_results(kv::record_store& store, std::string pool,
--- a/src/jobs/run_permission.h
+++ b/src/jobs/run_permission.h
@@ -1,9 +1,10 @@
-/// @file Whether a pool's owner may begin runs and ask scorers, when its lease may be over. Pure.
+/// @file Decides whether a pool's owner may start runs and call scorers without a valid lease.
+/// Reads no clock.
 ///
-/// An owner goes on for a while after its lease has lapsed: mostly the store is out, and then no
-/// other node can have taken over. Not so if the lease lapsed since the process itself stood still
-/// (frozen, paused by its host): others have had the time to take over, and a client to end a job
-/// there. Such an owner begins nothing until it has had the time to hear of a successor.
+/// An owner keeps working for a while after its lease has lapsed: the usual cause is an outage of
+/// the store, during which no other node can take over. If the process itself was suspended,
+/// another node may have taken over and ended jobs, so the owner starts nothing until it has had
+/// time to learn of a successor.
 #pragma once
 
 #include "base/time.h"
@@ -12,29 +13,29 @@
 
 class run_permission {
  public:
-  /// An owner whose lease has lapsed begins runs for that long, unless it hears of another owner:
-  /// longer than the outages of the store that deployments plan for (6 to 7 s).
-  static constexpr milliseconds k_lapsed_work{8000};
-  /// A loop that turns every 100 ms and did not for that long stood still. A lease is renewed every
-  /// 400 ms, and free after 1,500 ms: one that a shorter pause has cost is known to be lost.
-  static constexpr milliseconds k_standstill{500};
-  /// From a process's return to the time at which it has read who owns what: 2 ms measured with an
-  /// idle store, which leaves room for a lost connection and one more try.
-  static constexpr milliseconds k_hearing_time{500};
+  /// How long an owner starts runs after its lease has lapsed, unless it learns of another owner.
+  /// Covers the store outages of 6 to 7 s that deployments plan for.
+  static constexpr milliseconds k_lapsed_lease_grace{8000};
+  /// The process counts as suspended if its loop, with a period of 100 ms, did not run for this
+  /// long. Well below the 1,500 ms after which a lease expires.
+  static constexpr milliseconds k_suspension_threshold{500};
+  /// Time that a resumed process needs to read the current owners from the store, including a
+  /// reconnect and a retry.
+  static constexpr milliseconds k_owner_discovery_time{500};
 
-  explicit run_permission(time_point now) : turned_at_(now) {}
+  explicit run_permission(time_point now) : last_iteration_at_(now) {}
 
-  /// The owner's loop turns. @param holds_lease whether the lease is valid now.
-  void note_turn(time_point now, bool holds_lease);
-  /// Whether another node may have taken over while this process stood still.
-  bool may_be_succeeded(time_point now, bool holds_lease) const;
-  /// Whether runs may begin.
-  bool may_begin_runs(time_point now, bool holds_lease) const;
+  /// Records an iteration of the owner's loop. @param holds_lease true if the lease is valid now.
+  void note_iteration(time_point now, bool holds_lease);
+  /// Returns true if another node may have taken over while this process was suspended.
+  bool may_have_successor(time_point now, bool holds_lease) const;
+  /// Returns true if new runs may be started.
+  bool may_start_runs(time_point now, bool holds_lease) const;
 
  private:
-  time_point turned_at_;
-  time_point returned_at_ = time_point::min();
-  time_point held_at_ = time_point::min();
+  time_point last_iteration_at_;
+  time_point resumed_at_ = time_point::min();
+  time_point lease_held_at_ = time_point::min();
 };
 
 }  // namespace frostline::jobs
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -10,31 +10,31 @@
 
 constexpr std::string_view k_part = "jobs";
 constexpr milliseconds k_send_timeout{1000};
-/// A run begins with its first event; an engine that has room does not take that long.
+/// Timeout of the response head and of the first event.
 constexpr milliseconds k_first_event_timeout{2500};
-/// Silence between two events: at least this, or so many times the engine's usual gap.
-constexpr milliseconds k_least_silence{700};
-constexpr double k_silence_factor = 10.0;
-/// Runs stand still while their engine loads.
-constexpr milliseconds k_load_silence{3500};
-constexpr milliseconds k_refused_pause{80};
-constexpr milliseconds k_broken_pause{10};
-constexpr milliseconds k_failed_pause{100};
-/// After an engine has ended under a sample: whether a second one has, too, is known here within
-/// some 30 ms (quarantine/crash_watch), and the next run waits for that.
-constexpr milliseconds k_suspect_pause{40};
-/// Engines that have ended under a sample when its runs are isolated from those of others like it:
-/// the next one that ends would condemn all that run there. One would be too few: after the crash
-/// of a full engine all its samples would wait for engines of their own.
-constexpr std::size_t k_isolated_crashes = quarantine::k_most_crashes - 1;
-/// How often a sample that is held back is looked at again.
-constexpr milliseconds k_held_back_pause{500};
-/// Runs started in one turn of the loop: other work, such as the lease, must not wait for all.
-constexpr std::size_t k_most_starts = 24;
-/// Longest time that an engine may spend on a run, where its job sets none.
-constexpr milliseconds k_longest_run{60'000};
+/// Timeout between two events: at least this, or a multiple of the engine's usual gap.
+constexpr milliseconds k_min_event_timeout{700};
+constexpr double k_event_timeout_factor = 10.0;
+/// Runs pause while their engine loads weights.
+constexpr milliseconds k_event_timeout_during_load{3500};
+constexpr milliseconds k_refused_retry_delay{80};
+constexpr milliseconds k_broken_retry_delay{10};
+constexpr milliseconds k_failed_retry_delay{100};
+/// Delay after an engine crashed during a sample's run. Covers the time in which the quarantine
+/// service learns of another crash.
+constexpr milliseconds k_suspect_retry_delay{40};
+/// Number of crashes after which a sample's runs are isolated from those of other suspects: one
+/// more crash would quarantine all that share the engine. Not after the first crash, or all samples
+/// of a crashed engine would wait for engines of their own.
+constexpr std::size_t k_isolation_crash_count = quarantine::k_most_crashes - 1;
+/// Interval at which a quarantined sample is checked again.
+constexpr milliseconds k_quarantine_recheck_interval{500};
+/// Limit of runs started in one iteration, so that other work such as lease renewal is not delayed.
+constexpr std::size_t k_max_starts_per_iteration = 24;
+/// Deadline of a run, sent to the engine.
+constexpr milliseconds k_run_deadline{60'000};
 
-std::uint64_t parse_whole(std::string_view text) {
+std::uint64_t parse_number(std::string_view text) {
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -42,22 +42,23 @@
 
 }  // namespace
 
-std::string_view sample_runner::name_of(run_end end) const {
+std::string_view sample_runner::name_of(run_outcome outcome) const {
   constexpr std::string_view k_names[] = {"completed",   "refused",    "broken",
                                           "failed",      "impossible", "unusable",
                                           "old_version", "moved",      "unwanted"};
-  return k_names[static_cast<std::size_t>(end)];
+  return k_names[static_cast<std::size_t>(outcome)];
 }
 
-engines::run_need sample_runner::need_of(job const& owner, sample const& one) const {
+engines::run_need sample_runner::make_run_need(job_entry const& job,
+                                               sample_entry const& sample) const {
   engines::run_need need;
-  need.service = one.service;
-  need.model = owner.record.model;
-  need.min_version = owner.record.min_version;
-  bool const bound = owner.terms.single_version && !one.versions.empty();
-  if (bound) need.exact_version = one.versions.front();
-  need.tokens = expected_tokens(*one.spec);
-  need.group = one.spec->group;
+  need.service = sample.service;
+  need.model = job.record.model;
+  need.min_version = job.record.min_version;
+  bool const bound = job.policy.single_version && !sample.versions.empty();
+  if (bound) need.exact_version = sample.versions.front();
+  need.tokens = expected_tokens(*sample.spec);
+  need.group = sample.spec->group;
   return need;
 }
 
@@ -67,40 +68,40 @@
   });
 }
 
-bool sample_runner::must_be_isolated(job& owner, std::uint32_t index, time_point now) const {
+bool sample_runner::must_be_isolated(job_entry& job, std::uint32_t index, time_point now) const {
   if (!dependencies_.quarantine.is_watching()) return false;
-  quarantine::fingerprint const& request = identify(owner, index);
-  return dependencies_.quarantine.crashes_seen(request) >= k_isolated_crashes ||
+  quarantine::fingerprint const& request = fingerprint_of(job, index);
+  return dependencies_.quarantine.crashes_seen(request) >= k_isolation_crash_count ||
          dependencies_.quarantine.check(request, now) != quarantine::verdict::allowed;
 }
 
-bool sample_runner::may_start(job& owner, std::uint32_t index, time_point now) {
+bool sample_runner::may_start(job_entry& job, std::uint32_t index, time_point now) {
   if (!dependencies_.quarantine.is_watching()) return true;
-  sample& one = owner.samples[index];
-  quarantine::fingerprint const& request = identify(owner, index);
+  sample_entry& sample = job.samples[index];
+  quarantine::fingerprint const& request = fingerprint_of(job, index);
   if (trials_.erase(request) > 0) return true;
   if (dependencies_.quarantine.should_wait(request, now)) {
-    one.not_before = now + k_suspect_pause;
+    sample.not_before = now + k_suspect_retry_delay;
     return false;
   }
   quarantine::verdict const verdict = dependencies_.quarantine.check(request, now);
   if (verdict == quarantine::verdict::allowed) return true;
-  one.not_before = now + k_held_back_pause;
+  sample.not_before = now + k_quarantine_recheck_interval;
   if (verdict == quarantine::verdict::trial) {
-    spawn(dependencies_.context, ask_for_trial(request));
-  } else if (!one.held_back) {
+    spawn(dependencies_.context, request_trial(request));
+  } else if (!sample.held_back) {
     dependencies_.quarantine.note_refused(request);
-    log_line(log_level::warning, k_part, "Sample is held back: engines end under it.",
-             {{"request", one.spec->id},
-              {"job", owner.record.id},
+    log_line(log_level::warning, k_part, "Sample held back: its request may crash engines.",
+             {{"request", sample.spec->id},
+              {"job", job.record.id},
               {"fingerprint", request.to_string()}});
   }
-  one.held_back = true;
+  sample.held_back = true;
   return false;
 }
 
-awaitable<void> sample_runner::ask_for_trial(quarantine::fingerprint request) {
-  // Not within the condition: GCC 12 then loses this coroutine's own parameters.
+awaitable<void> sample_runner::request_trial(quarantine::fingerprint request) {
+  // Not within the condition: GCC 12 then loses the coroutine's parameters.
   bool const granted = co_await dependencies_.quarantine.claim_trial(request);
   if (!granted) co_return;
   trials_.insert(request);
@@ -112,47 +113,47 @@
   if (!table) return;
   std::size_t started = 0;
   for (run_candidate const& next : dependencies_.table.runnable(now)) {
-    if (started == k_most_starts) {
-      // The rest follows when the loop has turned.
+    if (started == k_max_starts_per_iteration) {
+      // The remaining runs start in the next iteration.
       dependencies_.notify();
       break;
     }
-    job& owner = *next.owner;
-    sample& one = owner.samples[next.index];
-    auto const* route = table->match(owner.record.host, owner.record.path);
+    job_entry& job = *next.job;
+    sample_entry& sample = job.samples[next.index];
+    auto const* route = table->match(job.record.host, job.record.path);
     if (route == nullptr) continue;
-    bool const still_there = std::any_of(
+    bool const share_exists = std::any_of(
         route->shares.begin(), route->shares.end(),
-        [&](calls::service_share const& share) { return share.service == one.service; });
-    if (!still_there) one.service = shares_.pick(*route);
-    bool const isolated = must_be_isolated(owner, next.index, now);
-    engines::run_need need = need_of(owner, one);
+        [&](calls::service_share const& share) { return share.service == sample.service; });
+    if (!share_exists) sample.service = shares_.pick(*route);
+    bool const isolated = must_be_isolated(job, next.index, now);
+    engines::run_need need = make_run_need(job, sample);
     if (isolated) need.excluded = isolating_engines_;
     engines::board_engine const* engine = dependencies_.board.choose(need, now);
-    if (engine == nullptr || !may_start(owner, next.index, now)) continue;
-    start(owner, next.index, *engine, isolated);
+    if (engine == nullptr || !may_start(job, next.index, now)) continue;
+    start(job, next.index, *engine, isolated);
     ++started;
   }
   move_slow_runs(now);
 }
 
-void sample_runner::start(job& owner, std::uint32_t index, engines::board_engine const& engine,
+void sample_runner::start(job_entry& job, std::uint32_t index, engines::board_engine const& engine,
                           bool isolated) {
-  sample& one = owner.samples[index];
-  run_key const key = dependencies_.table.start(owner, index, engine.server.id, boot_clock::now());
-  std::uint64_t const tokens = expected_tokens(*one.spec);
-  dependencies_.board.note_started(engine.server.id, tokens, one.spec->group);
+  sample_entry& sample = job.samples[index];
+  run_key const key = dependencies_.table.start(job, index, engine.server.id, boot_clock::now());
+  std::uint64_t const tokens = expected_tokens(*sample.spec);
+  dependencies_.board.note_started(engine.server.id, tokens, sample.spec->group);
   ++counters_.runs;
   if (isolated) isolating_engines_.insert(engine.server.id);
   log_line(log_level::info, k_part, "Run started.",
-           {{"request", one.spec->id},
-            {"job", owner.record.id},
+           {{"request", sample.spec->id},
+            {"job", job.record.id},
             {"server", engine.server.id},
             {"run", key.attempt},
-            {"events", one.events},
+            {"events", sample.events},
             {"in_flight", engine.in_flight},
             {"isolated", isolated ? "yes" : "no"}});
-  spawn(dependencies_.context, run(key, engine.server, tokens, one.spec->group, isolated));
+  spawn(dependencies_.context, run(key, engine.server, tokens, sample.spec->group, isolated));
 }
 
 void sample_runner::move_slow_runs(time_point now) {
@@ -160,18 +161,18 @@
   milliseconds best_gain{0};
   for (auto& [id, open] : runs_) {
     if (open.moving) continue;
-    sample const* one = dependencies_.table.running(keys_[id]);
+    sample_entry const* sample = dependencies_.table.find_running(keys_[id]);
     engines::board_engine const* from = dependencies_.board.find(open.engine);
-    if (one == nullptr || from == nullptr || one->events == 0) continue;
-    job const* owner = dependencies_.table.find(keys_[id].job);
+    if (sample == nullptr || from == nullptr || sample->events == 0) continue;
+    job_entry const* job = dependencies_.table.find(keys_[id].job);
     milliseconds const gain =
-        dependencies_.board.gain_of_move(*from, need_of(*owner, *one), one->events, now);
+        dependencies_.board.gain_of_move(*from, make_run_need(*job, *sample), sample->events, now);
     if (gain <= best_gain) continue;
     best = &open;
     best_gain = gain;
   }
   if (best == nullptr) return;
-  // One at a time, so that the next decision sees the engine that takes it.
+  // Only one move at a time, so that the next decision accounts for its target.
   best->moving = true;
   best->exchange->abort();
 }
@@ -188,15 +189,15 @@
   }
 }
 
-void sample_runner::note_end_of_run(run_id id, run_key const& key, directory::server const& engine,
-                                    run_end end, bool has_broken) {
-  bool const broken = end == run_end::broken && has_broken;
-  bool const given_up = !broken && is_given_up(end);
-  if (!broken && !given_up) return;
+void sample_runner::report_outcome(run_id id, run_key const& key, directory::server const& engine,
+                                   run_outcome outcome, bool has_broken) {
+  bool const broken = outcome == run_outcome::broken && has_broken;
+  bool const abandoned = !broken && is_abandoned(outcome);
+  if (!broken && !abandoned) return;
   open_run const& open = runs_.at(id);
-  job* const owner = dependencies_.table.find(key.job);
+  job_entry* const job = dependencies_.table.find(key.job);
   std::optional<quarantine::fingerprint> request = open.request;
-  if (!request && owner != nullptr) request = identify(*owner, key.index);
+  if (!request && job != nullptr) request = fingerprint_of(*job, key.index);
   if (!request) return;
   if (broken) {
     dependencies_.quarantine.note_broken(engine, *request, open.sent_at);
@@ -205,18 +206,18 @@
   }
 }
 
-bool sample_runner::is_given_up(run_end end) {
-  switch (end) {
-    case run_end::broken:
-    case run_end::unusable:
-    case run_end::old_version:
-    case run_end::moved:
-    case run_end::unwanted:
+bool sample_runner::is_abandoned(run_outcome outcome) {
+  switch (outcome) {
+    case run_outcome::broken:
+    case run_outcome::unusable:
+    case run_outcome::old_version:
+    case run_outcome::moved:
+    case run_outcome::unwanted:
       return true;
-    case run_end::completed:
-    case run_end::refused:
-    case run_end::failed:
-    case run_end::impossible:
+    case run_outcome::completed:
+    case run_outcome::refused:
+    case run_outcome::failed:
+    case run_outcome::impossible:
       return false;
   }
   return false;
@@ -224,34 +225,34 @@
 
 void sample_runner::abort(run_id id, open_run& open) {
   run_key const& key = keys_[id];
-  // The job may be gone when the run has ended.
-  job* const owner = dependencies_.table.find(key.job);
-  if (owner != nullptr) open.request = identify(*owner, key.index);
+  // The job may be gone by the time that the run ends.
+  job_entry* const job = dependencies_.table.find(key.job);
+  if (job != nullptr) open.request = fingerprint_of(*job, key.index);
   open.exchange->abort();
 }
 
-milliseconds sample_runner::pause_after_break(job& owner, std::uint32_t index) const {
-  if (!dependencies_.quarantine.is_watching()) return k_broken_pause;
-  bool const suspect = dependencies_.quarantine.crashes_seen(identify(owner, index)) > 0;
-  return suspect ? k_suspect_pause : k_broken_pause;
+milliseconds sample_runner::retry_delay_after_break(job_entry& job, std::uint32_t index) const {
+  if (!dependencies_.quarantine.is_watching()) return k_broken_retry_delay;
+  bool const suspect = dependencies_.quarantine.crashes_seen(fingerprint_of(job, index)) > 0;
+  return suspect ? k_suspect_retry_delay : k_broken_retry_delay;
 }
 
-http::request sample_runner::make_request(job const& owner, sample const& one) const {
-  http::request message(http::verb::post, one.spec->path, 11);
-  message.set(http::field::host, owner.record.host);
-  for (auto const& header : one.spec->headers) message.set(header->name, header->value);
-  // What an item says of its tenant or key proves nothing.
+http::request sample_runner::make_request(job_entry const& job, sample_entry const& sample) const {
+  http::request message(http::verb::post, sample.spec->path, 11);
+  message.set(http::field::host, job.record.host);
+  for (auto const& header : sample.spec->headers) message.set(header->name, header->value);
+  // Tenant and credentials in an item's headers are not authenticated.
   message.erase(dependencies_.names.tenant);
-  if (!owner.record.tenant.empty()) {
+  if (!job.record.tenant.empty()) {
     message.erase(http::field::authorization);
-    message.set(dependencies_.names.tenant, owner.record.tenant);
+    message.set(dependencies_.names.tenant, job.record.tenant);
   }
-  message.set(dependencies_.names.request_id, one.spec->id);
-  message.set(dependencies_.names.deadline, std::to_string(k_longest_run.count()));
-  message.set(dependencies_.names.expected_instance, one.engine);
-  if (one.last_event)
-    message.set(dependencies_.names.last_event_id, std::to_string(*one.last_event));
-  message.body().assign(one.spec->body.begin(), one.spec->body.end());
+  message.set(dependencies_.names.request_id, sample.spec->id);
+  message.set(dependencies_.names.deadline, std::to_string(k_run_deadline.count()));
+  message.set(dependencies_.names.expected_instance, sample.engine);
+  if (sample.last_event)
+    message.set(dependencies_.names.last_event_id, std::to_string(*sample.last_event));
+  message.body().assign(sample.spec->body.begin(), sample.spec->body.end());
   message.prepare_payload();
   return message;
 }
@@ -259,185 +260,190 @@
 awaitable<void> sample_runner::run(run_key key, directory::server engine, std::uint64_t tokens,
                                    std::string group, bool isolated) {
   run_id const id = next_run_++;
-  calls::exchange with(dependencies_.connections, dependencies_.names, engine);
-  job const* const owner = dependencies_.table.find(key.job);
+  calls::exchange exchange(dependencies_.connections, dependencies_.names, engine);
+  job_entry const* const job = dependencies_.table.find(key.job);
   open_run open;
-  open.exchange = &with;
+  open.exchange = &exchange;
   open.engine = engine.id;
   open.sent_at = boot_clock::now();
-  open.single_version = owner != nullptr && owner->terms.single_version;
+  open.single_version = job != nullptr && job->policy.single_version;
   runs_[id] = open;
   keys_[id] = key;
-  run_end end = co_await drive(key, with);
-  if (end == run_end::broken && runs_[id].moving) end = run_end::moved;
-  if (end == run_end::completed) with.finish();
-  if (with.may_have_reached_server()) note_end_of_run(id, key, engine, end, with.has_broken());
+  run_outcome outcome = co_await execute(key, exchange);
+  if (outcome == run_outcome::broken && runs_[id].moving) outcome = run_outcome::moved;
+  if (outcome == run_outcome::completed) exchange.finish();
+  if (exchange.may_have_reached_server())
+    report_outcome(id, key, engine, outcome, exchange.has_broken());
   runs_.erase(id);
   keys_.erase(id);
   if (isolated) isolating_engines_.erase(engine.id);
   dependencies_.board.note_ended(engine.id, tokens, group);
-  conclude(key, engine.id, end);
+  finish_run(key, engine.id, outcome);
   dependencies_.notify();
 }
 
-awaitable<sample_runner::run_end> sample_runner::drive(run_key const& key, calls::exchange& with) {
-  sample const* one = dependencies_.table.running(key);
-  if (one == nullptr) co_return run_end::unwanted;
-  http::request const message = make_request(*dependencies_.table.find(key.job), *one);
+awaitable<sample_runner::run_outcome> sample_runner::execute(run_key const& key,
+                                                             calls::exchange& exchange) {
+  sample_entry const* sample = dependencies_.table.find_running(key);
+  if (sample == nullptr) co_return run_outcome::unwanted;
+  http::request const message = make_request(*dependencies_.table.find(key.job), *sample);
   auto choice = calls::connection_choice::kept;
-  auto failure = co_await with.send(message, choice, boot_clock::now() + k_send_timeout);
-  time_point const first = boot_clock::now() + k_first_event_timeout;
-  if (failure == calls::exchange_failure::none) failure = co_await with.read_head(first);
+  auto failure = co_await exchange.send(message, choice, boot_clock::now() + k_send_timeout);
+  time_point const head_deadline = boot_clock::now() + k_first_event_timeout;
+  if (failure == calls::exchange_failure::none)
+    failure = co_await exchange.read_head(head_deadline);
   bool const is_stale = failure == calls::exchange_failure::stale_connection;
-  if (is_stale && dependencies_.may_send_again()) {
+  if (is_stale && dependencies_.may_resend()) {
     choice = calls::connection_choice::fresh;
-    failure = co_await with.send(message, choice, boot_clock::now() + k_send_timeout);
-    if (failure == calls::exchange_failure::none) failure = co_await with.read_head(first);
+    failure = co_await exchange.send(message, choice, boot_clock::now() + k_send_timeout);
+    if (failure == calls::exchange_failure::none)
+      failure = co_await exchange.read_head(head_deadline);
   }
-  if (dependencies_.table.running(key) == nullptr) co_return run_end::unwanted;
-  if (failure != calls::exchange_failure::none) co_return run_end::broken;
-  run_end const head = take_head(with);
-  if (head != run_end::completed) co_return head;
-  co_return co_await read_events(key, with);
+  if (dependencies_.table.find_running(key) == nullptr) co_return run_outcome::unwanted;
+  if (failure != calls::exchange_failure::none) co_return run_outcome::broken;
+  run_outcome const head = classify_response(exchange);
+  if (head != run_outcome::completed) co_return head;
+  co_return co_await read_events(key, exchange);
 }
 
-sample_runner::run_end sample_runner::take_head(calls::exchange const& with) const {
-  http::response const& head = with.head();
+sample_runner::run_outcome sample_runner::classify_response(calls::exchange const& exchange) const {
+  http::response const& head = exchange.head();
   unsigned const status = head.result_int();
-  if (status == 200) return run_end::completed;
-  if (status == 422) return run_end::impossible;
+  if (status == 200) return run_outcome::completed;
+  if (status == 422) return run_outcome::impossible;
   bool const refused = !http::header(head, dependencies_.names.not_run).empty() || status == 421;
-  if (refused) return run_end::refused;
-  return status == 500 ? run_end::failed : run_end::broken;
+  if (refused) return run_outcome::refused;
+  return status == 500 ? run_outcome::failed : run_outcome::broken;
 }
 
-awaitable<sample_runner::run_end> sample_runner::read_events(run_key const& key,
-                                                             calls::exchange& with) {
+awaitable<sample_runner::run_outcome> sample_runner::read_events(run_key const& key,
+                                                                 calls::exchange& exchange) {
   calls::event_splitter splitter(dependencies_.names.versions);
   std::string version_field = dependencies_.names.versions;
-  std::uint64_t version = parse_whole(http::header(with.head(), version_field));
-  std::string const engine = with.server().id;
-  time_point last = boot_clock::now();
-  bool first = true;
+  std::uint64_t version = parse_number(http::header(exchange.head(), version_field));
+  std::string const engine = exchange.server().id;
+  time_point last_event_at = boot_clock::now();
+  bool awaiting_first_event = true;
   std::string piece;
-  while (!with.is_whole() || !with.head().body().empty()) {
+  while (!exchange.is_whole() || !exchange.head().body().empty()) {
     engines::board_engine const* board = dependencies_.board.find(engine);
     double const usual = board == nullptr ? 0 : board->event_gap_ms;
     bool const loading = board != nullptr && board->load == engines::load_state::ordered;
-    milliseconds silence = std::max(
-        k_least_silence, milliseconds(static_cast<std::int64_t>(usual * k_silence_factor)));
-    if (first) silence = k_first_event_timeout;
-    if (loading) silence = std::max(silence, k_load_silence);
-    auto const failure = co_await with.read_piece(piece, boot_clock::now() + silence);
-    if (dependencies_.table.running(key) == nullptr) co_return run_end::unwanted;
-    if (failure != calls::exchange_failure::none) co_return run_end::broken;
+    milliseconds timeout =
+        std::max(k_min_event_timeout,
+                 milliseconds(static_cast<std::int64_t>(usual * k_event_timeout_factor)));
+    if (awaiting_first_event) timeout = k_first_event_timeout;
+    if (loading) timeout = std::max(timeout, k_event_timeout_during_load);
+    auto const failure = co_await exchange.read_piece(piece, boot_clock::now() + timeout);
+    if (dependencies_.table.find_running(key) == nullptr) co_return run_outcome::unwanted;
+    if (failure != calls::exchange_failure::none) co_return run_outcome::broken;
     auto const events = splitter.feed(piece);
     if (events.empty()) continue;
     time_point const now = boot_clock::now();
-    if (!first && !loading) {
-      auto const gap = std::chrono::duration_cast<milliseconds>(now - last);
+    if (!awaiting_first_event && !loading) {
+      auto const gap = std::chrono::duration_cast<milliseconds>(now - last_event_at);
       dependencies_.board.note_event_gap(engine, gap / static_cast<int>(events.size()), now);
     }
-    first = false;
-    last = now;
-    run_end const taken = take_events(key, events, version);
-    if (taken != run_end::completed) co_return taken;
+    awaiting_first_event = false;
+    last_event_at = now;
+    run_outcome const taken = take_events(key, events, version);
+    if (taken != run_outcome::completed) co_return taken;
     dependencies_.board.note_success(engine);
   }
-  sample const* one = dependencies_.table.running(key);
-  if (one == nullptr) co_return run_end::unwanted;
-  bool const whole = splitter.is_between_events() && one->events > 0;
-  co_return whole ? run_end::completed : run_end::broken;
+  sample_entry const* sample = dependencies_.table.find_running(key);
+  if (sample == nullptr) co_return run_outcome::unwanted;
+  bool const complete = splitter.is_between_events() && sample->events > 0;
+  co_return complete ? run_outcome::completed : run_outcome::broken;
 }
 
-sample_runner::run_end sample_runner::take_events(run_key const& key,
-                                                  std::vector<calls::stream_event> const& events,
-                                                  std::uint64_t& version) {
+sample_runner::run_outcome sample_runner::take_events(
+    run_key const& key, std::vector<calls::stream_event> const& events, std::uint64_t& version) {
   for (calls::stream_event const& event : events) {
     if (event.version) version = *event.version;
-    sample* const one = dependencies_.table.running(key);
-    job const* const owner = dependencies_.table.find(key.job);
-    if (one == nullptr || owner == nullptr) return run_end::unwanted;
-    switch (dependencies_.table.take_event(*owner, *one, event, version, boot_clock::now())) {
-      case event_result::taken:
+    sample_entry* const sample = dependencies_.table.find_running(key);
+    job_entry const* const job = dependencies_.table.find(key.job);
+    if (sample == nullptr || job == nullptr) return run_outcome::unwanted;
+    switch (dependencies_.table.append_event(*job, *sample, event, version, boot_clock::now())) {
+      case event_result::accepted:
         break;
       case event_result::too_old:
-        return run_end::old_version;
+        return run_outcome::old_version;
       case event_result::mixed_versions:
-        return run_end::unusable;
-      case event_result::repeated:
+        return run_outcome::unusable;
+      case event_result::duplicate:
       case event_result::out_of_order:
-        return run_end::broken;
+        return run_outcome::broken;
     }
   }
-  return run_end::completed;
+  return run_outcome::completed;
 }
 
-void sample_runner::conclude(run_key const& key, std::string const& engine, run_end end) {
+void sample_runner::finish_run(run_key const& key, std::string const& engine, run_outcome outcome) {
   time_point const now = boot_clock::now();
-  job* const owner = dependencies_.table.find(key.job);
-  sample* const one = dependencies_.table.running(key);
-  bool const tells = owner != nullptr && end == run_end::broken;
+  job_entry* const job = dependencies_.table.find(key.job);
+  sample_entry* const sample = dependencies_.table.find_running(key);
+  bool const log_fingerprint = job != nullptr && outcome == run_outcome::broken;
   log_line(log_level::info, k_part, "Run ended.",
-           {{"request", owner == nullptr ? "" : owner->samples[key.index].spec->id},
+           {{"request", job == nullptr ? "" : job->samples[key.index].spec->id},
             {"job", key.job},
             {"server", engine},
             {"run", key.attempt},
-            {"end", name_of(end)},
-            {"fingerprint", tells ? identify(*owner, key.index).to_string() : std::string()},
-            {"events", one == nullptr ? 0 : one->events}});
-  if (end == run_end::broken) {
+            {"end", name_of(outcome)},
+            {"fingerprint",
+             log_fingerprint ? fingerprint_of(*job, key.index).to_string() : std::string()},
+            {"events", sample == nullptr ? 0 : sample->events}});
+  if (outcome == run_outcome::broken) {
     ++counters_.broken;
     dependencies_.board.note_failure(engine, now);
   }
-  if (owner == nullptr || one == nullptr) return;
-  switch (end) {
-    case run_end::completed:
+  if (job == nullptr || sample == nullptr) return;
+  switch (outcome) {
+    case run_outcome::completed:
       ++counters_.completed;
       if (dependencies_.quarantine.is_watching()) {
-        dependencies_.quarantine.note_answer(identify(*owner, key.index));
+        dependencies_.quarantine.note_answer(fingerprint_of(*job, key.index));
       }
-      if (dependencies_.table.complete_text(*owner, key.index, now))
+      if (dependencies_.table.complete_text(*job, key.index, now))
         scorer_.start(key.job, key.index);
       break;
-    case run_end::refused:
-      dependencies_.board.block(engine, now + k_refused_pause);
-      dependencies_.table.requeue(*one, now + k_broken_pause);
+    case run_outcome::refused:
+      dependencies_.board.block(engine, now + k_refused_retry_delay);
+      dependencies_.table.requeue(*sample, now + k_broken_retry_delay);
       break;
-    case run_end::moved:
+    case run_outcome::moved:
       ++counters_.moved;
-      dependencies_.table.requeue(*one, now);
+      dependencies_.table.requeue(*sample, now);
       break;
-    case run_end::broken:
-      dependencies_.table.requeue(*one, now + pause_after_break(*owner, key.index));
+    case run_outcome::broken:
+      dependencies_.table.requeue(*sample, now + retry_delay_after_break(*job, key.index));
       break;
-    case run_end::failed:
-      conclude_failure(*owner, key, *one);
+    case run_outcome::failed:
+      finish_failed_run(*job, key, *sample);
       break;
-    case run_end::impossible:
+    case run_outcome::impossible:
       ++counters_.dead;
-      dependencies_.table.give_up(*owner, key.index, now);
+      dependencies_.table.mark_dead(*job, key.index, now);
       break;
-    case run_end::unusable:
-      dependencies_.table.restart(*one, now + k_broken_pause);
+    case run_outcome::unusable:
+      dependencies_.table.restart(*sample, now + k_broken_retry_delay);
       break;
-    case run_end::old_version: {
-      dependencies_.board.set_version(engine, owner->record.model, 0);
-      dependencies_.table.requeue(*one, now + k_broken_pause);
+    case run_outcome::old_version: {
+      dependencies_.board.set_version(engine, job->record.model, 0);
+      dependencies_.table.requeue(*sample, now + k_broken_retry_delay);
       break;
     }
-    case run_end::unwanted:
+    case run_outcome::unwanted:
       break;
   }
 }
 
-void sample_runner::conclude_failure(job& owner, run_key const& key, sample& one) {
+void sample_runner::finish_failed_run(job_entry& job, run_key const& key, sample_entry& sample) {
   time_point const now = boot_clock::now();
-  if (++one.failures >= owner.terms.max_attempts) {
+  if (++sample.failures >= job.policy.max_attempts) {
     ++counters_.dead;
-    dependencies_.table.give_up(owner, key.index, now);
+    dependencies_.table.mark_dead(job, key.index, now);
   } else {
-    dependencies_.table.requeue(one, now + k_failed_pause);
+    dependencies_.table.requeue(sample, now + k_failed_retry_delay);
   }
 }
 
--- a/src/jobs/sample_runner.h
+++ b/src/jobs/sample_runner.h
@@ -18,7 +18,7 @@
 
 namespace frostline::jobs {
 
-/// References outlive the runner.
+/// References must outlive the runner.
 struct runner_dependencies {
   asio::io_context& context;
   calls::active_configuration const& configuration;
@@ -29,9 +29,9 @@
   engines::engine_board& board;
   quarantine::service& quarantine;
   job_table& table;
-  /// Whether this process has not stood still so long that another owner may have ended the job.
-  std::function<bool()> may_send_again;
-  /// Something changed that the owner may act on.
+  /// Returns false if another owner may have taken over while this process was suspended.
+  std::function<bool()> may_resend;
+  /// Wakes up the owner's loop.
   std::function<void()> notify;
 };
 
@@ -40,7 +40,7 @@
   std::uint64_t completed = 0;
   std::uint64_t broken = 0;
   std::uint64_t moved = 0;
-  /// Given up by the engine's own answers.
+  /// Samples marked dead because of the engine's answers.
   std::uint64_t dead = 0;
 };
 
@@ -49,37 +49,36 @@
   explicit sample_runner(runner_dependencies dependencies)
       : dependencies_(std::move(dependencies)) {}
 
-  /// Starts what can be started, and moves runs off slow engines.
+  /// Starts runnable samples and moves runs off slow engines.
   void advance(time_point now);
-  /// Closes the runs of one job, or of all jobs if `job` is empty.
+  /// Aborts the runs of one job, or of all jobs if `job` is empty.
   void abort_runs(std::string const& job);
-  /// Closes the run of one sample.
+  /// Aborts the run of one sample.
   void abort_run(std::string const& job, std::uint32_t index);
   std::size_t running() const { return runs_.size(); }
-  /// Whether a run of this engine must not mix versions.
+  /// Returns true if the engine has a run that must not mix weight versions.
   bool has_single_version_run(std::string const& engine) const;
   runner_counters const& counters() const { return counters_; }
   scorer_counters const& scoring() const { return scorer_.counters(); }
 
  private:
-  /// How a run ended.
-  enum class run_end {
+  enum class run_outcome {
     completed,
-    /// Refused by the engine, not run.
+    /// The engine refused the request without running it.
     refused,
-    /// No answer, or it broke off.
+    /// No answer, or the connection broke off.
     broken,
-    /// The engine answered that it failed.
+    /// The engine reported a failure.
     failed,
-    /// The engine answered that it can never be done.
+    /// The engine reported that the request can never succeed.
     impossible,
-    /// What came can't be used: start over.
+    /// The text would mix weight versions; the sample starts over.
     unusable,
-    /// The engine's version is too old for the job.
+    /// The engine's weight version is too old for the job.
     old_version,
-    /// Given up by this side to run elsewhere.
+    /// Aborted by this node to continue on another engine.
     moved,
-    /// Nobody wants it any more.
+    /// The job ended or the run was superseded.
     unwanted,
   };
 
@@ -89,39 +88,43 @@
     bool single_version = false;
     std::string engine;
     time_point sent_at{};
-    /// Set when the run is given up because its sample is not wanted any more.
+    /// Set when the run is aborted, since its job may be gone by the time that the run ends.
     std::optional<quarantine::fingerprint> request;
   };
   using run_id = std::uint64_t;
 
-  engines::run_need need_of(job const& owner, sample const& one) const;
-  /// Whether the sample must not share its engine with another one of which this holds: it is tried
-  /// under quarantine, or one more engine that ends under it would put it there.
-  bool must_be_isolated(job& owner, std::uint32_t index, time_point now) const;
-  /// Whether a sample may go to an engine: not one under which engines have ended, but for a trial.
-  bool may_start(job& owner, std::uint32_t index, time_point now);
-  awaitable<void> ask_for_trial(quarantine::fingerprint request);
-  /// @param isolated whether must_be_isolated held.
-  void start(job& owner, std::uint32_t index, engines::board_engine const& engine, bool isolated);
+  engines::run_need make_run_need(job_entry const& job, sample_entry const& sample) const;
+  /// Returns true if the sample must not share an engine with another such sample: it is
+  /// quarantined, or would be after one more engine crash.
+  bool must_be_isolated(job_entry& job, std::uint32_t index, time_point now) const;
+  /// Returns true if the sample may be sent to an engine. Poison requests may be sent only as a
+  /// trial.
+  bool may_start(job_entry& job, std::uint32_t index, time_point now);
+  awaitable<void> request_trial(quarantine::fingerprint request);
+  /// @param isolated result of must_be_isolated.
+  void start(job_entry& job, std::uint32_t index, engines::board_engine const& engine,
+             bool isolated);
   void move_slow_runs(time_point now);
-  /// Has the engine looked at if it may have ended under the run, or may yet.
-  void note_end_of_run(run_id id, run_key const& key, directory::server const& engine, run_end end,
-                       bool has_broken);
-  /// Whether this side closed the run's connection while the engine may have been at work.
-  static bool is_given_up(run_end end);
+  /// Reports broken and abandoned runs to the quarantine service, which checks whether the engine
+  /// crashes.
+  void report_outcome(run_id id, run_key const& key, directory::server const& engine,
+                      run_outcome outcome, bool has_broken);
+  /// Returns true if this node closed the connection while the engine may still have been running
+  /// the request.
+  static bool is_abandoned(run_outcome outcome);
   void abort(run_id id, open_run& open);
-  milliseconds pause_after_break(job& owner, std::uint32_t index) const;
+  milliseconds retry_delay_after_break(job_entry& job, std::uint32_t index) const;
   awaitable<void> run(run_key key, directory::server engine, std::uint64_t tokens,
                       std::string group, bool isolated);
-  awaitable<run_end> drive(run_key const& key, calls::exchange& with);
-  awaitable<run_end> read_events(run_key const& key, calls::exchange& with);
-  run_end take_head(calls::exchange const& with) const;
-  run_end take_events(run_key const& key, std::vector<calls::stream_event> const& events,
-                      std::uint64_t& version);
-  http::request make_request(job const& owner, sample const& one) const;
-  void conclude(run_key const& key, std::string const& engine, run_end end);
-  void conclude_failure(job& owner, run_key const& key, sample& one);
-  std::string_view name_of(run_end end) const;
+  awaitable<run_outcome> execute(run_key const& key, calls::exchange& exchange);
+  awaitable<run_outcome> read_events(run_key const& key, calls::exchange& exchange);
+  run_outcome classify_response(calls::exchange const& exchange) const;
+  run_outcome take_events(run_key const& key, std::vector<calls::stream_event> const& events,
+                          std::uint64_t& version);
+  http::request make_request(job_entry const& job, sample_entry const& sample) const;
+  void finish_run(run_key const& key, std::string const& engine, run_outcome outcome);
+  void finish_failed_run(job_entry& job, run_key const& key, sample_entry& sample);
+  std::string_view name_of(run_outcome outcome) const;
 
   runner_dependencies dependencies_;
   std::map<run_id, open_run> runs_;
@@ -130,11 +133,11 @@
   sample_scorer scorer_{scorer_dependencies{dependencies_.context, dependencies_.configuration,
                                             dependencies_.servers, dependencies_.forwarder,
                                             dependencies_.names, dependencies_.table,
-                                            dependencies_.may_send_again, dependencies_.notify}};
+                                            dependencies_.may_resend, dependencies_.notify}};
   calls::share_picker shares_;
-  /// Requests that this node may send once.
+  /// Quarantined requests that this node may send once, as a trial.
   std::set<quarantine::fingerprint> trials_;
-  /// Engines that run an isolated sample.
+  /// Engines that are running an isolated sample.
   std::set<std::string> isolating_engines_;
   runner_counters counters_;
 };
--- a/src/jobs/sample_scorer.h
+++ b/src/jobs/sample_scorer.h
@@ -1,5 +1,5 @@
-/// @file Has finished samples scored by the scorer's servers, as many at once as leaves room there
-/// for ordinary calls.
+/// @file Scores completed samples through the scorer's servers, with a limit on concurrent calls
+/// that leaves capacity for other callers.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace frostline::jobs {
 
-/// References outlive the scorer.
+/// References must outlive the scorer.
 struct scorer_dependencies {
   asio::io_context& context;
   calls::active_configuration const& configuration;
@@ -23,53 +23,54 @@
   calls::forwarder& forwarder;
   calls::header_names const& names;
   job_table& table;
-  /// Whether this process has not stood still so long that another owner may have ended the job.
-  std::function<bool()> may_send_again;
-  /// Something changed that the owner may act on.
+  /// Returns false if another owner may have taken over while this process was suspended.
+  std::function<bool()> may_resend;
+  /// Wakes up the owner's loop.
   std::function<void()> notify;
 };
 
 struct scorer_counters {
   std::uint64_t scored = 0;
-  /// Samples given up because their scorer failed too often.
+  /// Samples marked dead because their scorer failed too often.
   std::uint64_t dead = 0;
 };
 
-/// Calls that may be under way at once at servers with so many slots in all: two thirds of them.
-std::size_t calls_at_once(std::size_t slots);
+/// Limit of concurrent calls for servers with `slots` slots in total: two thirds of them.
+std::size_t max_concurrent_calls(std::size_t slots);
 
 class sample_scorer {
  public:
   explicit sample_scorer(scorer_dependencies dependencies)
       : dependencies_(std::move(dependencies)) {}
 
-  /// Asks the scorer of a sample whose text is whole, as soon as there is room.
-  void start(std::string const& job, std::uint32_t index);
+  /// Queues a sample with a complete text for scoring.
+  void start(std::string const& job_id, std::uint32_t index);
   scorer_counters const& counters() const { return counters_; }
 
  private:
-  struct waiting {
+  struct queued_sample {
     std::string job;
     std::uint32_t index = 0;
   };
 
-  void pump();
-  /// Calls that may be under way now. The queue is not empty.
+  void start_queued_calls();
+  /// Current limit of concurrent calls. Requires a non-empty queue.
   std::size_t limit();
-  /// What came of one call. `again`: at once; `later`: no server gets the call now.
-  enum class scoring_step { over, again, later };
+  /// Next step after a call. `retry`: shortly; `requeue`: later, since the call is
+  /// quarantined.
+  enum class scoring_step { done, retry, requeue };
 
-  awaitable<void> score(std::string job, std::uint32_t index);
-  awaitable<scoring_step> score_once(std::string job, std::uint32_t index);
-  awaitable<void> queue_later(std::string job, std::uint32_t index);
-  /// The sample, if it still waits for its score.
-  sample* waiting_sample(std::string const& job, std::uint32_t index);
+  awaitable<void> score(std::string job_id, std::uint32_t index);
+  awaitable<scoring_step> score_once(std::string job_id, std::uint32_t index);
+  awaitable<void> requeue_later(std::string job_id, std::uint32_t index);
+  /// The sample, or null if it no longer waits for its score.
+  sample_entry* find_scoring(std::string const& job_id, std::uint32_t index);
 
   scorer_dependencies dependencies_;
-  std::deque<waiting> queue_;
-  std::size_t under_way_ = 0;
+  std::deque<queued_sample> queue_;
+  std::size_t in_flight_ = 0;
   std::size_t limit_ = 0;
-  time_point limit_until_ = time_point::min();
+  time_point limit_valid_until_ = time_point::min();
   scorer_counters counters_;
 };
 
--- /dev/null
+++ b/src/jobs/write_timeout_estimator.h
@@ -0,0 +1,30 @@
+/// @file Adaptive timeout of writes to the record store. Reads no clock.
+///
+/// Writes are idempotent, so a lost answer is best detected by an early retry. The timeout follows
+/// the response time, so that a slow store does not receive each write twice.
+#pragma once
+
+#include <cstddef>
+
+#include "base/time.h"
+
+namespace frostline::jobs {
+
+class write_timeout_estimator {
+ public:
+  static constexpr milliseconds k_min_timeout{250};
+  static constexpr milliseconds k_max_timeout{1500};
+
+  /// Time to wait for the answer to a write.
+  /// @param bytes that it sends.
+  /// @param tries of it that had no answer.
+  milliseconds timeout_for(std::size_t bytes, std::size_t tries) const;
+  /// A write was answered after `spent`.
+  void note_answer(milliseconds spent);
+
+ private:
+  /// Smoothed time of answers.
+  double answer_ms_ = 0;
+};
+
+}  // namespace frostline::jobs
--- a/tests/unit/jobs/progress_replica_test.cc
+++ b/tests/unit/jobs/progress_replica_test.cc
@@ -1,4 +1,4 @@
-/// @file What a replica holds of an owner's progress, and what its follower takes over.
+/// @file Replication of an owner's progress and its adoption by the next owner.
 
 #include "jobs/progress_replica.h"
 
@@ -30,193 +30,195 @@
 }  // namespace
 
 TEST_GROUP(progress_replica_test) {
-  job_table owner;
-  job_table follower;
+  job_table owner_table;
+  job_table next_owner_table;
   progress_replica replica;
   time_point now{std::chrono::hours(1)};
 
   void setup() override {
-    owner.add(make_record(), now);
-    follower.add(make_record(), now);
+    owner_table.add(make_record(), now);
+    next_owner_table.add(make_record(), now);
   }
 
   rpc::ProgressReportT report(std::uint64_t epoch = 1) {
     rpc::ProgressReportT all;
     all.epoch = epoch;
     all.jobs.push_back("job");
-    for (auto& one : owner.take_progress(1 << 20)) {
-      all.entries.push_back(std::make_unique<rpc::SampleProgressT>(std::move(one)));
+    for (auto& progress : owner_table.take_progress(1 << 20)) {
+      all.entries.push_back(std::make_unique<rpc::SampleProgressT>(std::move(progress)));
     }
     return all;
   }
 
   void run_events(std::uint64_t first, std::uint64_t last, std::string const& run = "d") {
-    job& held = *owner.find("job");
-    sample& one = held.samples[0];
-    if (one.state == sample_state::waiting) owner.start(held, 0, "engine", now);
+    job_entry& job = *owner_table.find("job");
+    sample_entry& sample = job.samples[0];
+    if (sample.state == sample_state::waiting) owner_table.start(job, 0, "engine", now);
     for (std::uint64_t id = first; id <= last; ++id) {
-      owner.take_event(held, one, event_of(id, run), 1, now);
+      owner_table.append_event(job, sample, event_of(id, run), 1, now);
     }
   }
 
-  sample const& follow() {
-    for (auto const& progress : replica.of_job("job")) follower.adopt(progress, now);
-    return follower.find("job")->samples[0];
+  sample_entry const& transfer_to_next_owner() {
+    for (auto const& progress : replica.job_progress("job")) next_owner_table.adopt(progress, now);
+    return next_owner_table.find("job")->samples[0];
   }
 };
 
-TEST(progress_replica_test, follower_goes_on_after_the_last_event_reported) {
+TEST(progress_replica_test, next_owner_continues_after_the_last_reported_event) {
   run_events(0, 2);
   CHECK(replica.take(report(), now));
   run_events(3, 4);
   CHECK(replica.take(report(), now));
-  sample const& one = follow();
-  STRCMP_EQUAL("d0\nd1\nd2\nd3\nd4", one.text.c_str());
-  LONGS_EQUAL(4, *one.last_event);
-  LONGS_EQUAL(1, one.versions.front());
-  CHECK(one.state == sample_state::waiting);
+  sample_entry const& sample = transfer_to_next_owner();
+  STRCMP_EQUAL("d0\nd1\nd2\nd3\nd4", sample.text.c_str());
+  LONGS_EQUAL(4, *sample.last_event);
+  LONGS_EQUAL(1, sample.versions.front());
+  CHECK(sample.state == sample_state::waiting);
 }
 
-TEST(progress_replica_test, finished_sample_is_finished_at_the_follower) {
+TEST(progress_replica_test, finished_sample_is_finished_at_the_next_owner) {
   run_events(0, 1);
   CHECK(replica.take(report(), now));
-  owner.complete_text(*owner.find("job"), 0, now);
+  owner_table.complete_text(*owner_table.find("job"), 0, now);
   CHECK(replica.take(report(), now));
-  sample const& one = follow();
-  CHECK(one.state == sample_state::finished);
-  STRCMP_EQUAL("d0\nd1", one.result.text.c_str());
-  STRCMP_EQUAL("a", one.result.id.c_str());
+  sample_entry const& sample = transfer_to_next_owner();
+  CHECK(sample.state == sample_state::finished);
+  STRCMP_EQUAL("d0\nd1", sample.result.text.c_str());
+  STRCMP_EQUAL("a", sample.result.id.c_str());
 }
 
-TEST(progress_replica_test, run_that_began_anew_replaces_what_was_reported) {
+TEST(progress_replica_test, restarted_run_replaces_the_reported_text) {
   run_events(0, 3);
   CHECK(replica.take(report(), now));
-  owner.restart(owner.find("job")->samples[0], now);
+  owner_table.restart(owner_table.find("job")->samples[0], now);
   run_events(0, 0);
   CHECK(replica.take(report(), now));
-  STRCMP_EQUAL("d0", follow().text.c_str());
+  STRCMP_EQUAL("d0", transfer_to_next_owner().text.c_str());
 }
 
-TEST(progress_replica_test, run_that_began_anew_and_came_further_is_reported_whole) {
+TEST(progress_replica_test, restarted_run_with_more_events_is_reported_in_full) {
   run_events(0, 1);
   CHECK(replica.take(report(), now));
-  owner.restart(owner.find("job")->samples[0], now);
+  owner_table.restart(owner_table.find("job")->samples[0], now);
   run_events(0, 3, "e");
   CHECK(replica.take(report(), now));
-  STRCMP_EQUAL("e0\ne1\ne2\ne3", follow().text.c_str());
+  STRCMP_EQUAL("e0\ne1\ne2\ne3", transfer_to_next_owner().text.c_str());
 }
 
-TEST(progress_replica_test, run_that_began_anew_and_came_as_far_is_reported) {
+TEST(progress_replica_test, restarted_run_with_as_many_events_is_reported) {
   run_events(0, 1);
   CHECK(replica.take(report(), now));
-  owner.restart(owner.find("job")->samples[0], now);
+  owner_table.restart(owner_table.find("job")->samples[0], now);
   run_events(0, 1, "e");
   CHECK(replica.take(report(), now));
-  STRCMP_EQUAL("e0\ne1", follow().text.c_str());
+  STRCMP_EQUAL("e0\ne1", transfer_to_next_owner().text.c_str());
 }
 
-// An owner that was killed is the owner again, begins runs anew and reports them; then the former
-// replica's offer comes, whose runs came further. The next owner must not get a text of both.
-TEST(progress_replica_test, text_taken_over_after_reports_of_another_run_is_reported_whole) {
+// A restarted owner adopts a replica that is ahead of its own new runs. The next owner must not
+// receive a mix of both texts.
+TEST(progress_replica_test, text_adopted_after_reports_of_another_run_is_reported_in_full) {
   run_events(0, 3, "former");
-  progress_replica of_former;
-  CHECK(of_former.take(report(1), now));
-  job_table again;
-  again.add(make_record(), now);
-  std::swap(owner, again);
+  progress_replica previous_replica;
+  CHECK(previous_replica.take(report(1), now));
+  job_table restarted_table;
+  restarted_table.add(make_record(), now);
+  std::swap(owner_table, restarted_table);
   run_events(0, 1, "own");
   CHECK(replica.take(report(2), now));
-  for (auto const& progress : of_former.of_job("job")) owner.adopt(progress, now);
+  for (auto const& progress : previous_replica.job_progress("job"))
+    owner_table.adopt(progress, now);
   run_events(4, 4, "next");
   CHECK(replica.take(report(2), now));
-  STRCMP_EQUAL("former0\nformer1\nformer2\nformer3\nnext4", follow().text.c_str());
+  STRCMP_EQUAL("former0\nformer1\nformer2\nformer3\nnext4", transfer_to_next_owner().text.c_str());
 }
 
-TEST(progress_replica_test, sample_given_up_after_reports_of_its_text_is_dead_at_the_follower) {
+TEST(progress_replica_test,
+     sample_marked_dead_after_reports_of_its_text_is_dead_at_the_next_owner) {
   run_events(0, 3);
   CHECK(replica.take(report(), now));
-  owner.give_up(*owner.find("job"), 0, now);
+  owner_table.mark_dead(*owner_table.find("job"), 0, now);
   CHECK(replica.take(report(), now));
-  sample const& one = follow();
-  CHECK(one.state == sample_state::finished);
-  CHECK(one.result.outcome == rpc::SampleOutcome::DEAD);
-  STRCMP_EQUAL("", one.result.text.c_str());
+  sample_entry const& sample = transfer_to_next_owner();
+  CHECK(sample.state == sample_state::finished);
+  CHECK(sample.result.outcome == rpc::SampleOutcome::DEAD);
+  STRCMP_EQUAL("", sample.result.text.c_str());
 }
 
-TEST(progress_replica_test, late_report_of_a_dropped_run_is_not_joined_to_the_next) {
+TEST(progress_replica_test, late_report_of_a_dropped_run_is_rejected) {
   run_events(0, 1);
   CHECK(replica.take(report(), now));
   run_events(2, 2);
   rpc::ProgressReportT late = report();
-  owner.restart(owner.find("job")->samples[0], now);
+  owner_table.restart(owner_table.find("job")->samples[0], now);
   run_events(0, 1, "e");
   CHECK(replica.take(report(), now));
   CHECK_FALSE(replica.take(std::move(late), now));
-  STRCMP_EQUAL("e0\ne1", follow().text.c_str());
+  STRCMP_EQUAL("e0\ne1", transfer_to_next_owner().text.c_str());
 }
 
-TEST(progress_replica_test, report_of_a_new_owner_is_not_joined_to_its_forerunners_text) {
+TEST(progress_replica_test, report_of_a_new_owner_does_not_extend_the_previous_owners_text) {
   run_events(0, 1);
   CHECK(replica.take(report(1), now));
   run_events(2, 2);
   CHECK_FALSE(replica.take(report(2), now));
-  STRCMP_EQUAL("d0\nd1", follow().text.c_str());
+  STRCMP_EQUAL("d0\nd1", transfer_to_next_owner().text.c_str());
 }
 
-TEST(progress_replica_test, report_with_a_gap_is_refused_and_the_whole_is_taken) {
+TEST(progress_replica_test, report_with_a_gap_is_rejected_and_a_full_report_is_applied) {
   run_events(0, 1);
   report();  // lost on its way
   run_events(2, 3);
   CHECK_FALSE(replica.take(report(), now));
-  owner.forget_replicated();
+  owner_table.reset_replicated();
   CHECK(replica.take(report(), now));
-  STRCMP_EQUAL("d0\nd1\nd2\nd3", follow().text.c_str());
+  STRCMP_EQUAL("d0\nd1\nd2\nd3", transfer_to_next_owner().text.c_str());
 }
 
-TEST(progress_replica_test, former_owners_report_is_refused) {
+TEST(progress_replica_test, report_of_the_previous_owner_is_rejected) {
   run_events(0, 0);
   CHECK(replica.take(report(5), now));
   run_events(1, 1);
   CHECK_FALSE(replica.take(report(4), now));
 }
 
-TEST(progress_replica_test, nothing_new_is_reported_once_it_was) {
+TEST(progress_replica_test, reported_progress_is_not_reported_again) {
   run_events(0, 0);
   LONGS_EQUAL(1, report().entries.size());
   LONGS_EQUAL(0, report().entries.size());
 }
 
-TEST(progress_replica_test, run_that_came_further_at_the_former_owner_replaces_the_own) {
+TEST(progress_replica_test, progress_ahead_of_the_local_run_replaces_it) {
   run_events(0, 3);
   CHECK(replica.take(report(), now));
-  job& held = *follower.find("job");
-  run_key const key = follower.start(held, 0, "engine", now);
-  follower.take_event(held, *follower.running(key), event_of(0), 1, now);
-  STRCMP_EQUAL("d0\nd1\nd2\nd3", follow().text.c_str());
-  POINTERS_EQUAL(nullptr, follower.running(key));
-  LONGS_EQUAL(2, follower.runnable(now).size());
+  job_entry& job = *next_owner_table.find("job");
+  run_key const key = next_owner_table.start(job, 0, "engine", now);
+  next_owner_table.append_event(job, *next_owner_table.find_running(key), event_of(0), 1, now);
+  STRCMP_EQUAL("d0\nd1\nd2\nd3", transfer_to_next_owner().text.c_str());
+  POINTERS_EQUAL(nullptr, next_owner_table.find_running(key));
+  LONGS_EQUAL(2, next_owner_table.runnable(now).size());
 }
 
-TEST(progress_replica_test, run_that_came_further_here_or_is_over_stays) {
+TEST(progress_replica_test, local_run_that_is_ahead_or_complete_is_kept) {
   run_events(0, 1);
   CHECK(replica.take(report(), now));
-  job& held = *follower.find("job");
-  run_key const key = follower.start(held, 0, "engine", now);
+  job_entry& job = *next_owner_table.find("job");
+  run_key const key = next_owner_table.start(job, 0, "engine", now);
   for (std::uint64_t id = 0; id < 4; ++id) {
-    follower.take_event(held, *follower.running(key), event_of(id), 1, now);
+    next_owner_table.append_event(job, *next_owner_table.find_running(key), event_of(id), 1, now);
   }
-  follow();
-  CHECK(follower.running(key) != nullptr);
-  follower.complete_text(held, 0, now);
-  STRCMP_EQUAL("d0\nd1\nd2\nd3", follow().result.text.c_str());
+  transfer_to_next_owner();
+  CHECK(next_owner_table.find_running(key) != nullptr);
+  next_owner_table.complete_text(job, 0, now);
+  STRCMP_EQUAL("d0\nd1\nd2\nd3", transfer_to_next_owner().result.text.c_str());
 }
 
-TEST(progress_replica_test, whole_report_carries_whole_texts) {
+TEST(progress_replica_test, full_report_holds_full_texts) {
   run_events(0, 1);
   CHECK(replica.take(report(), now));
   run_events(2, 2);
   CHECK(replica.take(report(), now));
-  auto const whole = replica.whole("pool");
+  auto const whole = replica.full_report("pool");
   CHECK(whole.whole);
   LONGS_EQUAL(1, whole.entries.size());
   LONGS_EQUAL(0, whole.entries[0]->from_bytes);
@@ -229,5 +231,5 @@
   rpc::ProgressReportT empty;
   empty.epoch = 1;
   CHECK(replica.take(std::move(empty), now));
-  LONGS_EQUAL(0, replica.of_job("job").size());
+  LONGS_EQUAL(0, replica.job_progress("job").size());
 }
