--- a/tests/unit/jobs/record_log_test.cc
+++ b/tests/unit/jobs/record_log_test.cc
@@ -1,5 +1,4 @@
-/// @file What is read back of a pool's jobs, and how entries are written until their outcome is
-/// known.
+/// @file Writing entries until their outcome is known, and reading a pool's jobs back.
 
 #include "jobs/record_log.h"
 
@@ -19,10 +18,10 @@
 constexpr char k_owner_key[] = "owner";
 
 kv::key_value mark(std::string const& key, kv::revision revision) {
-  kv::key_value one;
-  one.key = key;
-  one.create_revision = revision;
-  return one;
+  kv::key_value record;
+  record.key = key;
+  record.create_revision = revision;
+  return record;
 }
 
 rpc::JobRecordT job_of(std::string const& id, std::size_t body_bytes = 10) {
@@ -48,7 +47,7 @@
     log.open(k_owner_key, store.revision_of(k_owner_key));
   }
 
-  record_log::done note() {
+  record_log::completion_handler note() {
     return [this](write_outcome outcome) { outcomes.push_back(outcome); };
   }
 
@@ -58,7 +57,7 @@
   }
 };
 
-TEST(record_log_test, jobs_accepted_in_one_transaction_are_all_found_again) {
+TEST(record_log_test, jobs_accepted_in_one_transaction_are_all_read_back) {
   std::vector<kv::key_value> records;
   records.push_back(mark(record_keys::accepted_mark(k_pool, "first"), 5));
   records.push_back(mark(record_keys::accepted_mark(k_pool, "second"), 5));
@@ -72,14 +71,14 @@
   STRCMP_EQUAL("over", marks.ended.begin()->first.c_str());
 }
 
-TEST(record_log_test, entries_that_wait_share_a_transaction) {
+TEST(record_log_test, queued_entries_share_a_transaction) {
   log.write_record(job_of("a"), note());
   log.write_record(job_of("b"), note());
   log.write_record(job_of("c"), note());
   run_until_idle();
   LONGS_EQUAL(3, outcomes.size());
   for (write_outcome outcome : outcomes) CHECK(outcome == write_outcome::stored);
-  // The first goes alone; the others gather while it is under way.
+  // The first is written alone; the others are grouped while it is in flight.
   CHECK(log.transactions() <= 2);
 }
 
@@ -99,7 +98,7 @@
   LONGS_EQUAL(9000, read.record->items.front()->body.size());
 }
 
-TEST(record_log_test, record_that_fits_no_transaction_is_refused_and_nothing_is_written) {
+TEST(record_log_test, record_larger_than_a_transaction_is_rejected) {
   kv::store_limits small;
   small.value_bytes = 1024;
   record_log small_log(context, store, small, k_pool);
@@ -109,7 +108,7 @@
   LONGS_EQUAL(0, store.list_now(record_keys::data_prefix(k_pool, "large")).size());
 }
 
-TEST(record_log_test, write_whose_answer_is_lost_is_stored_once_and_told_so) {
+TEST(record_log_test, write_with_a_lost_answer_is_stored_once_and_reported_as_stored) {
   store.lose_answers(1);
   log.write_record(job_of("job"), note());
   run_until_idle();
@@ -117,7 +116,7 @@
   LONGS_EQUAL(1, store.writes_of(record_keys::accepted_mark(k_pool, "job")));
 }
 
-TEST(record_log_test, late_copy_of_a_lost_write_changes_nothing) {
+TEST(record_log_test, delayed_duplicate_of_a_write_changes_nothing) {
   store.delay_next_write();
   log.write_record(job_of("job"), note());
   run_until_idle();
@@ -126,7 +125,7 @@
   LONGS_EQUAL(1, store.writes_of(record_keys::accepted_mark(k_pool, "job")));
 }
 
-TEST(record_log_test, checkpoints_are_read_back_in_the_order_in_which_they_were_written) {
+TEST(record_log_test, checkpoints_are_read_back_in_order_of_writing) {
   log.write_record(job_of("job"), note());
   for (std::uint64_t events = 1; events <= 12; ++events) {
     rpc::ProgressReportT report;
@@ -147,7 +146,7 @@
   }
 }
 
-TEST(record_log_test, former_owner_writes_nothing) {
+TEST(record_log_test, previous_owner_writes_nothing) {
   store.put_now(k_owner_key, "another");
   log.write_end("job", rpc::JobEndT(), note());
   run_until_idle();
@@ -155,7 +154,7 @@
   LONGS_EQUAL(0, store.writes_of(record_keys::ended_mark(k_pool, "job")));
 }
 
-TEST(record_log_test, closing_ends_what_is_queued) {
+TEST(record_log_test, close_fails_queued_entries) {
   log.write_end("a", rpc::JobEndT(), note());
   log.write_end("b", rpc::JobEndT(), note());
   log.close();
--- a/tests/unit/jobs/result_reader_test.cc
+++ b/tests/unit/jobs/result_reader_test.cc
@@ -1,5 +1,5 @@
-/// @file Results of jobs that change no more are read from the record store when their owner is
-/// busy.
+/// @file Reading the results of closed jobs from the record store, and the limit of those that the
+/// owner sends.
 
 #include "jobs/result_reader.h"
 
@@ -42,7 +42,7 @@
 
 TEST_GROUP(result_reader_test){};
 
-TEST(result_reader_test, results_begin_at_the_position_that_is_asked_for) {
+TEST(result_reader_test, results_start_at_the_requested_position) {
   rpc::JobReplyT const reply = take_results(make_batches(), 1, 9, k_no_limit);
   LONGS_EQUAL(4, reply.results.size());
   STRCMP_EQUAL("item-1", reply.results.front()->id.c_str());
@@ -50,19 +50,19 @@
   LONGS_EQUAL(9, reply.total);
 }
 
-TEST(result_reader_test, long_replies_are_cut_but_hold_one_result_at_least) {
+TEST(result_reader_test, replies_are_limited_but_hold_at_least_one_result) {
   LONGS_EQUAL(1, take_results(make_batches(), 0, 9, 1).results.size());
   LONGS_EQUAL(2, take_results(make_batches(), 0, 9, 600).results.size());
 }
 
-TEST(result_reader_test, nothing_is_shown_behind_a_gap) {
+TEST(result_reader_test, results_after_a_gap_are_omitted) {
   std::vector<rpc::ResultBatchT> batches;
   batches.push_back(make_batch(0, 2));
   batches.push_back(make_batch(3, 2));
   LONGS_EQUAL(2, take_results(std::move(batches), 0, 9, k_no_limit).results.size());
 }
 
-TEST(result_reader_test, stored_batches_are_read_in_the_order_of_their_positions) {
+TEST(result_reader_test, stored_batches_are_read_in_order_of_positions) {
   asio::io_context context{1};
   memory_record_store store{context};
   store.put_now(record_keys::results("pool", "job", 2), rpc::encode(make_batch(2, 3)));
@@ -79,7 +79,7 @@
   STRCMP_EQUAL("item-0", reply->results.front()->id.c_str());
 }
 
-TEST(result_reader_test, budget_refuses_what_is_beyond_it_and_fills_with_time) {
+TEST(result_reader_test, budget_rejects_excess_bytes_and_refills_over_time) {
   read_budget budget(1000);
   time_point const now = boot_clock::now();
   CHECK_TRUE(budget.take(600, now));
@@ -89,7 +89,7 @@
   CHECK_TRUE(budget.take(400, now + milliseconds(500)));
 }
 
-TEST(result_reader_test, reply_larger_than_the_budget_goes_when_the_budget_is_full) {
+TEST(result_reader_test, oversized_reply_is_allowed_when_the_budget_is_full) {
   read_budget budget(1000);
   time_point const now = boot_clock::now();
   CHECK_TRUE(budget.take(5000, now));
--- a/tests/unit/jobs/sample_scorer_test.cc
+++ b/tests/unit/jobs/sample_scorer_test.cc
@@ -1,4 +1,4 @@
-/// @file How many scorers' calls may be under way at once.
+/// @file Limit of concurrent calls to scorers.
 
 #include "jobs/sample_scorer.h"
 
@@ -9,12 +9,12 @@
 
 TEST_GROUP(sample_scorer_test){};
 
-TEST(sample_scorer_test, calls_grow_with_the_slots_and_leave_a_third_to_others) {
-  LONGS_EQUAL(12, calls_at_once(18));
-  LONGS_EQUAL(36, calls_at_once(54));
+TEST(sample_scorer_test, call_limit_is_two_thirds_of_the_slots) {
+  LONGS_EQUAL(12, max_concurrent_calls(18));
+  LONGS_EQUAL(36, max_concurrent_calls(54));
 }
 
-TEST(sample_scorer_test, some_calls_go_out_even_where_slots_are_few_or_unknown) {
-  LONGS_EQUAL(4, calls_at_once(0));
-  LONGS_EQUAL(4, calls_at_once(3));
+TEST(sample_scorer_test, call_limit_has_a_minimum) {
+  LONGS_EQUAL(4, max_concurrent_calls(0));
+  LONGS_EQUAL(4, max_concurrent_calls(3));
 }
