--- a/src/jobs/job_client.cc
+++ b/src/jobs/job_client.cc
@@ -53,7 +53,7 @@
 awaitable<rpc::JobReplyT> job_client::read_stored(std::string pool, rpc::JobCallT call,
                                                   rpc::JobReplyT owner_reply) {
   auto reply = co_await read_results(store_, pool, call.job, call.after, owner_reply.total);
-  // No results are valid only at or beyond the number that the owner knows to be listed.
+  // An empty reply is valid only past the results that the owner knows to be listed.
   bool const read = reply && (!reply->results.empty() || call.after >= owner_reply.listed);
   log_line(log_level::info, k_part, "Results read from the record store.",
            {{"job", call.job},
@@ -104,15 +104,15 @@
 }
 
 awaitable<rpc::JobReplyT> job_client::ask(rpc::JobCallT call, time_point deadline) {
-  rpc::JobReplyT last = unavailable();
+  rpc::JobReplyT last_reply = unavailable();
   bool all_authoritative = !pools_.empty();
   for (auto& [name, target] : pools_) {
     rpc::JobReplyT reply = co_await call_owner(target, call, deadline);
     if (reply.status == rpc::JobStatus::OK) co_return reply;
     if (reply.status != rpc::JobStatus::UNKNOWN_JOB) all_authoritative = false;
-    last = std::move(reply);
+    last_reply = std::move(reply);
   }
-  if (all_authoritative || last.status != rpc::JobStatus::UNKNOWN_JOB) co_return last;
+  if (all_authoritative || last_reply.status != rpc::JobStatus::UNKNOWN_JOB) co_return last_reply;
   co_return unavailable();
 }
 
--- a/src/jobs/pool_owner_ended.cc
+++ b/src/jobs/pool_owner_ended.cc
@@ -47,9 +47,9 @@
 }
 
 void pool_owner::request_ended_job(std::string const& id) {
-  bool const wanted = std::find(requested_ended_jobs_.begin(), requested_ended_jobs_.end(), id) !=
-                      requested_ended_jobs_.end();
-  if (!wanted) requested_ended_jobs_.push_back(id);
+  bool const already_queued = std::find(requested_ended_jobs_.begin(), requested_ended_jobs_.end(),
+                                        id) != requested_ended_jobs_.end();
+  if (!already_queued) requested_ended_jobs_.push_back(id);
   if (loading_ended_jobs_) return;
   loading_ended_jobs_ = true;
   spawn(dependencies_.context, load_ended_jobs_loop(term_));
--- a/tests/unit/jobs/job_table_test.cc
+++ b/tests/unit/jobs/job_table_test.cc
@@ -28,7 +28,7 @@
   return record;
 }
 
-calls::stream_event event_of(std::uint64_t id) {
+calls::stream_event make_event(std::uint64_t id) {
   calls::stream_event event;
   event.id = id;
   event.data = "d" + std::to_string(id);
@@ -51,7 +51,7 @@
     run_key const key = table.start(job, index, "engine", now);
     sample_entry* const sample = table.find_running(key);
     CHECK(sample != nullptr);
-    CHECK(table.append_event(job, *sample, event_of(0), 3, now) == event_result::accepted);
+    CHECK(table.append_event(job, *sample, make_event(0), 3, now) == event_result::accepted);
     table.complete_text(job, index, now);
   }
 };
@@ -82,10 +82,10 @@
   job_entry& job = add("job", 1, 1);
   run_key const key = table.start(job, 0, "engine", now);
   sample_entry& sample = *table.find_running(key);
-  CHECK(table.append_event(job, sample, event_of(0), 3, now) == event_result::accepted);
-  CHECK(table.append_event(job, sample, event_of(0), 3, now) == event_result::duplicate);
-  CHECK(table.append_event(job, sample, event_of(2), 3, now) == event_result::out_of_order);
-  CHECK(table.append_event(job, sample, event_of(1), 4, now) == event_result::accepted);
+  CHECK(table.append_event(job, sample, make_event(0), 3, now) == event_result::accepted);
+  CHECK(table.append_event(job, sample, make_event(0), 3, now) == event_result::duplicate);
+  CHECK(table.append_event(job, sample, make_event(2), 3, now) == event_result::out_of_order);
+  CHECK(table.append_event(job, sample, make_event(1), 4, now) == event_result::accepted);
   STRCMP_EQUAL("d0\nd1", sample.text.c_str());
   LONGS_EQUAL(2, sample.versions.size());
 }
@@ -93,7 +93,7 @@
 TEST(job_table_test, event_of_too_old_version_is_rejected) {
   job_entry& job = add("job", 1, 1);
   sample_entry& sample = *table.find_running(table.start(job, 0, "engine", now));
-  CHECK(table.append_event(job, sample, event_of(0), 2, now) == event_result::too_old);
+  CHECK(table.append_event(job, sample, make_event(0), 2, now) == event_result::too_old);
   LONGS_EQUAL(0, sample.events);
 }
 
@@ -101,8 +101,8 @@
   job_entry& job = add("job", 1, 1);
   job.policy.single_version = true;
   sample_entry& sample = *table.find_running(table.start(job, 0, "engine", now));
-  CHECK(table.append_event(job, sample, event_of(0), 3, now) == event_result::accepted);
-  CHECK(table.append_event(job, sample, event_of(1), 4, now) == event_result::mixed_versions);
+  CHECK(table.append_event(job, sample, make_event(0), 3, now) == event_result::accepted);
+  CHECK(table.append_event(job, sample, make_event(1), 4, now) == event_result::mixed_versions);
   table.restart(sample, now);
   LONGS_EQUAL(0, sample.events);
   CHECK(sample.versions.empty());
@@ -112,7 +112,7 @@
   job_entry& job = add("job", 1, 1);
   run_key const previous = table.start(job, 0, "engine", now);
   sample_entry& sample = *table.find_running(previous);
-  table.append_event(job, sample, event_of(0), 3, now);
+  table.append_event(job, sample, make_event(0), 3, now);
   table.requeue(sample, now);
   POINTERS_EQUAL(nullptr, table.find_running(previous));
   LONGS_EQUAL(1, table.runnable(now).size());
@@ -213,7 +213,7 @@
 TEST(job_table_test, sample_with_a_scorer_finishes_only_when_scored) {
   job_entry& job = add("job", 1, 1, true);
   run_key const key = table.start(job, 0, "engine", now);
-  table.append_event(job, *table.find_running(key), event_of(0), 3, now);
+  table.append_event(job, *table.find_running(key), make_event(0), 3, now);
   CHECK(table.complete_text(job, 0, now));
   CHECK_FALSE(table.next_batch(job, now + seconds(5), k_limit).has_value());
   table.set_score(job, 0, "proof", now);
@@ -262,14 +262,14 @@
   for (std::uint32_t index : {0U, 1U}) {
     run_key const key = table.start(job, index, "engine", now);
     time_point const begun = index == 0 ? now : now + milliseconds(500);
-    table.append_event(job, *table.find_running(key), event_of(0), 3, begun);
+    table.append_event(job, *table.find_running(key), make_event(0), 3, begun);
   }
   auto const reports = table.take_checkpoint(now + age, age, k_limit);
   LONGS_EQUAL(1, reports.size());
   LONGS_EQUAL(1, reports[0].entries.size());
   STRCMP_EQUAL("d0", reports[0].entries[0]->text.c_str());
   LONGS_EQUAL(0, table.take_checkpoint(now + age, age, k_limit).size());
-  table.append_event(job, job.samples[0], event_of(1), 3, now + age);
+  table.append_event(job, job.samples[0], make_event(1), 3, now + age);
   auto const next = table.take_checkpoint(now + age, age, k_limit);
   LONGS_EQUAL(2, next[0].entries[0]->from_bytes);
   STRCMP_EQUAL("\nd1", next[0].entries[0]->text.c_str());
@@ -282,7 +282,7 @@
   job_entry& job = add("job", 2, 2);
   complete(job, 0);
   run_key const key = table.start(job, 1, "engine", now);
-  table.append_event(job, *table.find_running(key), event_of(0), 3, now);
+  table.append_event(job, *table.find_running(key), make_event(0), 3, now);
   table.end("job");
   LONGS_EQUAL(0, table.take_checkpoint(now, milliseconds(0), k_limit).size());
 }
@@ -305,7 +305,7 @@
   for (std::uint32_t index : {0U, 1U}) {
     now = accepted + milliseconds(100 * (index + 1));
     run_key const key = table.start(job, index, "engine", now);
-    table.append_event(job, *table.find_running(key), event_of(0), 3, now);
+    table.append_event(job, *table.find_running(key), make_event(0), 3, now);
     table.complete_text(job, index, now + milliseconds(30));
     table.set_score(job, index, "proof", now + milliseconds(50));
   }
--- a/tests/unit/jobs/progress_replica_test.cc
+++ b/tests/unit/jobs/progress_replica_test.cc
@@ -20,7 +20,7 @@
   return record;
 }
 
-calls::stream_event event_of(std::uint64_t id, std::string const& run = "d") {
+calls::stream_event make_event(std::uint64_t id, std::string const& run = "d") {
   calls::stream_event event;
   event.id = id;
   event.data = run + std::to_string(id);
@@ -55,7 +55,7 @@
     sample_entry& sample = job.samples[0];
     if (sample.state == sample_state::waiting) owner_table.start(job, 0, "engine", now);
     for (std::uint64_t id = first; id <= last; ++id) {
-      owner_table.append_event(job, sample, event_of(id, run), 1, now);
+      owner_table.append_event(job, sample, make_event(id, run), 1, now);
     }
   }
 
@@ -193,7 +193,7 @@
   CHECK(replica.take(report(), now));
   job_entry& job = *next_owner_table.find("job");
   run_key const key = next_owner_table.start(job, 0, "engine", now);
-  next_owner_table.append_event(job, *next_owner_table.find_running(key), event_of(0), 1, now);
+  next_owner_table.append_event(job, *next_owner_table.find_running(key), make_event(0), 1, now);
   STRCMP_EQUAL("d0\nd1\nd2\nd3", transfer_to_next_owner().text.c_str());
   POINTERS_EQUAL(nullptr, next_owner_table.find_running(key));
   LONGS_EQUAL(2, next_owner_table.runnable(now).size());
@@ -205,7 +205,7 @@
   job_entry& job = *next_owner_table.find("job");
   run_key const key = next_owner_table.start(job, 0, "engine", now);
   for (std::uint64_t id = 0; id < 4; ++id) {
-    next_owner_table.append_event(job, *next_owner_table.find_running(key), event_of(id), 1, now);
+    next_owner_table.append_event(job, *next_owner_table.find_running(key), make_event(id), 1, now);
   }
   transfer_to_next_owner();
   CHECK(next_owner_table.find_running(key) != nullptr);
--- a/tests/unit/jobs/record_log_test.cc
+++ b/tests/unit/jobs/record_log_test.cc
@@ -24,7 +24,7 @@
   return record;
 }
 
-rpc::JobRecordT job_of(std::string const& id, std::size_t body_bytes = 10) {
+rpc::JobRecordT make_job(std::string const& id, std::size_t body_bytes = 10) {
   rpc::JobRecordT job;
   job.id = id;
   auto item = std::make_unique<rpc::JobItemT>();
@@ -47,7 +47,7 @@
     log.open(k_owner_key, store.revision_of(k_owner_key));
   }
 
-  record_log::completion_handler note() {
+  record_log::completion_handler record_outcome() {
     return [this](write_outcome outcome) { outcomes.push_back(outcome); };
   }
 
@@ -72,9 +72,9 @@
 }
 
 TEST(record_log_test, queued_entries_share_a_transaction) {
-  log.write_record(job_of("a"), note());
-  log.write_record(job_of("b"), note());
-  log.write_record(job_of("c"), note());
+  log.write_record(make_job("a"), record_outcome());
+  log.write_record(make_job("b"), record_outcome());
+  log.write_record(make_job("c"), record_outcome());
   run_until_idle();
   LONGS_EQUAL(3, outcomes.size());
   for (write_outcome outcome : outcomes) CHECK(outcome == write_outcome::stored);
@@ -87,7 +87,7 @@
   small.value_bytes = 4096;
   record_log small_log(context, store, small, k_pool);
   small_log.open(k_owner_key, store.revision_of(k_owner_key));
-  small_log.write_record(job_of("large", 9000), note());
+  small_log.write_record(make_job("large", 9000), record_outcome());
   while (!small_log.is_idle() && context.run_one() > 0) {
   }
   CHECK(outcomes.at(0) == write_outcome::stored);
@@ -103,14 +103,14 @@
   small.value_bytes = 1024;
   record_log small_log(context, store, small, k_pool);
   small_log.open(k_owner_key, store.revision_of(k_owner_key));
-  small_log.write_record(job_of("large", 100'000), note());
+  small_log.write_record(make_job("large", 100'000), record_outcome());
   CHECK(outcomes.at(0) == write_outcome::too_large);
   LONGS_EQUAL(0, store.list_now(record_keys::data_prefix(k_pool, "large")).size());
 }
 
 TEST(record_log_test, write_with_a_lost_answer_is_stored_once_and_reported_as_stored) {
   store.lose_answers(1);
-  log.write_record(job_of("job"), note());
+  log.write_record(make_job("job"), record_outcome());
   run_until_idle();
   CHECK(outcomes.at(0) == write_outcome::stored);
   LONGS_EQUAL(1, store.writes_of(record_keys::accepted_mark(k_pool, "job")));
@@ -118,7 +118,7 @@
 
 TEST(record_log_test, delayed_duplicate_of_a_write_changes_nothing) {
   store.delay_next_write();
-  log.write_record(job_of("job"), note());
+  log.write_record(make_job("job"), record_outcome());
   run_until_idle();
   CHECK(outcomes.at(0) == write_outcome::stored);
   store.apply_delayed();
@@ -126,7 +126,7 @@
 }
 
 TEST(record_log_test, checkpoints_are_read_back_in_order_of_writing) {
-  log.write_record(job_of("job"), note());
+  log.write_record(make_job("job"), record_outcome());
   for (std::uint64_t events = 1; events <= 12; ++events) {
     rpc::ProgressReportT report;
     report.jobs.push_back("job");
@@ -148,15 +148,15 @@
 
 TEST(record_log_test, previous_owner_writes_nothing) {
   store.put_now(k_owner_key, "another");
-  log.write_end("job", rpc::JobEndT(), note());
+  log.write_end("job", rpc::JobEndT(), record_outcome());
   run_until_idle();
   CHECK(outcomes.at(0) == write_outcome::ownership_lost);
   LONGS_EQUAL(0, store.writes_of(record_keys::ended_mark(k_pool, "job")));
 }
 
 TEST(record_log_test, close_fails_queued_entries) {
-  log.write_end("a", rpc::JobEndT(), note());
-  log.write_end("b", rpc::JobEndT(), note());
+  log.write_end("a", rpc::JobEndT(), record_outcome());
+  log.write_end("b", rpc::JobEndT(), record_outcome());
   log.close();
   context.run_for(std::chrono::seconds(1));
   LONGS_EQUAL(2, outcomes.size());
