--- a/src/directory/server.h
+++ b/src/directory/server.h
@@ -9,14 +9,16 @@
 
 namespace frostline::directory {
 
-/// ready -> draining -> gone; ready -> gone. A life of a server never comes back from draining.
+/// ready -> draining -> gone; ready -> gone. A incarnation of a server never comes back from
+/// draining.
 enum class server_state { ready, draining };
 
-/// One life of a server. It may start again under its identifier, and then knows nothing of before.
+/// One incarnation of a server. It may start again under its identifier, and then knows nothing of
+/// before.
 struct server {
   std::string id;
-  /// When this life began, Unix milliseconds by its own clock; 0: not told. A later life has a
-  /// higher number.
+  /// When this incarnation began, Unix milliseconds by its own clock; 0: not told. A later
+  /// incarnation has a higher number.
   std::uint64_t born = 0;
   std::string service;
   endpoint address;
@@ -25,11 +27,11 @@
   server_state state = server_state::ready;
   /// Model to the version of its weights; empty for application servers.
   std::map<std::string, std::uint64_t> models;
-  /// Orders taken in this life, as far as discovery knows.
+  /// Orders taken in this incarnation, as far as discovery knows.
   std::uint64_t sequence = 0;
 
   /// Tells lives apart, also those under one identifier.
-  std::string life() const { return born == 0 ? id : id + "/" + std::to_string(born); }
+  std::string incarnation() const { return born == 0 ? id : id + "/" + std::to_string(born); }
   bool operator==(server const&) const = default;
 };
 
--- a/src/directory/server_directory.cc
+++ b/src/directory/server_directory.cc
@@ -121,7 +121,7 @@
   return found == servers_.end() ? nullptr : &found->second;
 }
 
-bool server_directory::is_replaced(server const& former) const {
+bool server_directory::is_superseded(server const& former) const {
   server const* const same = find(former.id);
   if (same != nullptr && same->born > former.born) return true;
   return index_.has_other_at_address(former);
--- a/src/directory/server_directory.h
+++ b/src/directory/server_directory.h
@@ -17,7 +17,8 @@
   /// @param ids of the servers that may have changed, come or gone.
   using change_listener = std::function<void(std::vector<std::string> const& ids)>;
 
-  /// Records of a former life of a server that is known are passed over: they were written late.
+  /// Records of a former incarnation of a server that is known are passed over: they were written
+  /// late.
   void replace_all(std::vector<server> servers);
   void put(server one);
   /// Listeners run once for all of them.
@@ -28,10 +29,10 @@
 
   bool is_loaded() const { return loaded_; }
   server const* find(std::string const& id) const;
-  /// Whether a later life is known under this one's identifier, or at its address in its service:
-  /// then this one is over.
-  bool is_replaced(server const& former) const;
-  /// Whether this life has said that it is about to end.
+  /// Whether a later incarnation is known under this one's identifier, or at its address in its
+  /// service: then this one is over.
+  bool is_superseded(server const& former) const;
+  /// Whether this incarnation has said that it is about to end.
   bool is_leaving(server const& one) const;
   /// Servers of a service that may get new work.
   std::vector<server const*> const& ready_servers(std::string const& service) const {
@@ -44,13 +45,15 @@
   std::map<std::string, server> const& servers() const { return servers_; }
   void on_change(change_listener one) { listeners_.push_back(std::move(one)); }
   /// Runs when a server is known to have started again under its identifier.
-  void on_new_life(std::function<void(server const&)> listener) { new_life_ = std::move(listener); }
+  void on_server_restart(std::function<void(server const&)> listener) {
+    new_life_ = std::move(listener);
+  }
 
  private:
   void notify(std::vector<std::string> const& ids) const;
   void log_size() const;
   void erase(std::string const& id);
-  /// Takes one record over. @return false if it is of a former life.
+  /// Takes one record over. @return false if it is of a former incarnation.
   bool take(server one);
 
   std::map<std::string, server> servers_;
--- a/src/engines/controller.cc
+++ b/src/engines/controller.cc
@@ -173,7 +173,7 @@
   }(shared_from_this(), attempt));
 }
 
-void controller::give_up_all() {
+void controller::abandon_all() {
   for (auto& [attempt, sample] : running_) give_up(attempt, sample, "controller stops");
 }
 
--- a/src/engines/controller.h
+++ b/src/engines/controller.h
@@ -48,7 +48,7 @@
   awaitable<rpc::RunSampleResponseT> run(rpc::RunSampleRequestT request);
   bool cancel(std::string const& attempt);
   /// Interrupts all samples in flight; their owners go on with them elsewhere.
-  void give_up_all();
+  void abandon_all();
 
   rpc::EngineStatusT status() const;
   kv::revision epoch() const { return epoch_; }
--- a/src/engines/engine_board.cc
+++ b/src/engines/engine_board.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void engine_board::begin_life(board_engine& one) {
+void engine_board::begin_life(engine_entry& one) {
   one.versions.clear();
   one.event_gap_ms = 0;
   one.blocked_until = time_point::min();
@@ -30,7 +30,7 @@
   one.ordered_at = time_point{};
 }
 
-std::uint64_t board_engine::version_of(std::string const& model) const {
+std::uint64_t engine_entry::version_of(std::string const& model) const {
   auto const held = versions.find(model);
   return held == versions.end() ? 0 : held->second;
 }
@@ -48,7 +48,7 @@
 
 void engine_board::put(directory::server const& server) {
   auto const [place, fresh] = engines_.try_emplace(server.id);
-  board_engine& one = place->second;
+  engine_entry& one = place->second;
   if (!fresh && one.server == server) return;
   if (server.born > one.server.born) begin_life(one);
   one.server = server;
@@ -70,7 +70,7 @@
   measured_.erase(id);
 }
 
-void engine_board::file(board_engine const& one) {
+void engine_board::file(engine_entry const& one) {
   engine_standing standing;
   standing.id = one.server.id;
   standing.ready = one.server.state == directory::server_state::ready;
@@ -81,19 +81,19 @@
   index_.put(standing);
 }
 
-board_engine const* engine_board::find(std::string const& id) const {
+engine_entry const* engine_board::find(std::string const& id) const {
   auto const found = engines_.find(id);
   return found == engines_.end() ? nullptr : &found->second;
 }
 
-board_engine* engine_board::find_own(std::string const& id) {
+engine_entry* engine_board::find_own(std::string const& id) {
   auto const found = engines_.find(id);
   return found == engines_.end() ? nullptr : &found->second;
 }
 
 void engine_board::set_version(std::string const& id, std::string const& model,
                                std::uint64_t version) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr || one->version_of(model) == version) return;
   one->versions[model] = version;
   file(*one);
@@ -101,13 +101,13 @@
 
 void engine_board::raise_version(std::string const& id, std::string const& model,
                                  std::uint64_t version) {
-  board_engine const* const one = find(id);
+  engine_entry const* const one = find(id);
   if (one != nullptr) set_version(id, model, std::max(one->version_of(model), version));
 }
 
 void engine_board::begin_load(std::string const& id, std::string const& model,
                               std::uint64_t version, time_point now) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr) return;
   one->load = load_state::ordered;
   one->ordered_at = now;
@@ -118,12 +118,12 @@
 }
 
 void engine_board::set_ordered_at(std::string const& id, time_point at) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one != nullptr) one->ordered_at = at;
 }
 
 void engine_board::end_load(std::string const& id) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr || one->load == load_state::idle) return;
   one->load = load_state::idle;
   loading_.erase(id);
@@ -135,7 +135,8 @@
   for (std::string const& id : all) end_load(id);
 }
 
-bool engine_board::can_run(board_engine const& one, run_need const& need, time_point now) const {
+bool engine_board::can_run(engine_entry const& one, run_requirements const& need,
+                           time_point now) const {
   if (one.server.service != need.service) return false;
   if (one.server.state != directory::server_state::ready) return false;
   // A load concerns the runs of its own model only.
@@ -152,19 +153,20 @@
   return version->second >= need.min_version;
 }
 
-double engine_board::cost_of(board_engine const& one, run_need const& need, time_point now) const {
+double engine_board::cost_of(engine_entry const& one, run_requirements const& need,
+                             time_point now) const {
   double const load = static_cast<double>(one.in_flight) / std::max(one.server.slots, 1U);
   double const bonus = one.groups.contains(need.group) ? k_group_bonus : 0.0;
   return slowness(one, now) * (1.0 + load) - bonus;
 }
 
-board_engine const* engine_board::choose(run_need const& need, time_point now) {
+engine_entry const* engine_board::choose(run_requirements const& need, time_point now) {
   refresh_typical_gap(now);
-  board_engine const* best = nullptr;
+  engine_entry const* best = nullptr;
   double best_cost = 0;
-  auto const consider = [&](std::string const& id) -> board_engine const* {
+  auto const consider = [&](std::string const& id) -> engine_entry const* {
     ++examined_;
-    board_engine const* const one = find(id);
+    engine_entry const* const one = find(id);
     if (one == nullptr || !can_run(*one, need, now)) return nullptr;
     double const cost = cost_of(*one, need, now);
     bool const better = best == nullptr || cost < best_cost ||
@@ -184,7 +186,7 @@
   std::uint64_t const most = need.exact_version.value_or(std::numeric_limits<std::uint64_t>::max());
   // Of those that nothing else speaks for, the emptiest is the best.
   index_.visit_emptiest(need.model, least, most, [&](std::string const& id) {
-    board_engine const* const one = consider(id);
+    engine_entry const* const one = consider(id);
     return one != nullptr && !knows_gap(*one, now);
   });
   return best;
@@ -192,7 +194,7 @@
 
 void engine_board::note_started(std::string const& id, std::uint64_t tokens,
                                 std::string const& group) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr) return;
   ++one->in_flight;
   one->tokens_in_flight += tokens;
@@ -203,7 +205,7 @@
 
 void engine_board::note_ended(std::string const& id, std::uint64_t tokens,
                               std::string const& group) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr) return;
   if (one->in_flight > 0) --one->in_flight;
   one->tokens_in_flight -= std::min(tokens, one->tokens_in_flight);
@@ -223,7 +225,7 @@
 }
 
 void engine_board::note_event_gap(std::string const& id, milliseconds gap, time_point now) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr) return;
   double const sample = static_cast<double>(gap.count());
   bool const fresh = one->event_gap_ms == 0 || now - one->gap_known_at > k_gap_memory;
@@ -234,23 +236,23 @@
 }
 
 void engine_board::note_failure(std::string const& id, time_point now) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one == nullptr) return;
   auto const doublings = std::min(one->failures_in_row++, k_most_block_doublings);
   block(id, now + k_first_block * (1 << doublings));
 }
 
 void engine_board::note_success(std::string const& id) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one != nullptr) one->failures_in_row = 0;
 }
 
 void engine_board::block(std::string const& id, time_point until) {
-  board_engine* const one = find_own(id);
+  engine_entry* const one = find_own(id);
   if (one != nullptr) one->blocked_until = std::max(one->blocked_until, until);
 }
 
-bool engine_board::knows_gap(board_engine const& one, time_point now) const {
+bool engine_board::knows_gap(engine_entry const& one, time_point now) const {
   return one.event_gap_ms > 0 && now - one.gap_known_at <= k_gap_memory;
 }
 
@@ -258,7 +260,7 @@
   if (now - typical_gap_at_ < k_typical_gap_interval) return;
   typical_gap_at_ = now;
   std::erase_if(measured_, [&](std::string const& id) {
-    board_engine const* const one = find(id);
+    engine_entry const* const one = find(id);
     return one == nullptr || !knows_gap(*one, now);
   });
   std::vector<double> gaps;
@@ -270,17 +272,17 @@
   typical_gap_ms_ = *middle;
 }
 
-double engine_board::slowness(board_engine const& one, time_point now) const {
+double engine_board::slowness(engine_entry const& one, time_point now) const {
   if (typical_gap_ms_ <= 0 || !knows_gap(one, now)) return 1.0;
   return std::max(one.event_gap_ms / typical_gap_ms_, 0.5);
 }
 
-milliseconds engine_board::gain_of_move(board_engine const& from, run_need const& need,
+milliseconds engine_board::gain_of_move(engine_entry const& from, run_requirements const& need,
                                         std::uint64_t events, time_point now) {
   refresh_typical_gap(now);
   double const own = slowness(from, now);
   if (own < k_move_ratio) return milliseconds(0);
-  board_engine const* const other = choose(need, now);
+  engine_entry const* const other = choose(need, now);
   // An engine that has not been used lately may be the slow one that was left.
   if (other == nullptr || other == &from || !knows_gap(*other, now)) return milliseconds(0);
   double const next = slowness(*other, now);
--- a/src/engines/engine_board.h
+++ b/src/engines/engine_board.h
@@ -19,7 +19,7 @@
 /// over.
 enum class load_state { idle, ordered };
 
-struct board_engine {
+struct engine_entry {
   /// Version that it holds of a model; 0: none that is known.
   std::uint64_t version_of(std::string const& model) const;
 
@@ -41,7 +41,7 @@
 };
 
 /// What a run needs.
-struct run_need {
+struct run_requirements {
   std::string service;
   std::string model;
   std::uint64_t min_version = 0;
@@ -63,8 +63,8 @@
   void put(directory::server const& server);
   void remove(std::string const& id);
 
-  board_engine const* find(std::string const& id) const;
-  std::map<std::string, board_engine> const& engines() const { return engines_; }
+  engine_entry const* find(std::string const& id) const;
+  std::map<std::string, engine_entry> const& engines() const { return engines_; }
   /// Engines that were ordered to load.
   std::set<std::string> const& loading() const { return loading_; }
   engine_index const& index() const { return index_; }
@@ -86,7 +86,7 @@
 
   /// The engine for a run: one that holds its group's prompt if it is not much slower, else the
   /// one where an event comes soonest. Null if none has room.
-  board_engine const* choose(run_need const& need, time_point now);
+  engine_entry const* choose(run_requirements const& need, time_point now);
   void note_started(std::string const& id, std::uint64_t tokens, std::string const& group);
   void note_ended(std::string const& id, std::uint64_t tokens, std::string const& group);
   void note_event_gap(std::string const& id, milliseconds gap, time_point now);
@@ -96,27 +96,27 @@
   void block(std::string const& id, time_point until);
 
   /// How much slower than the typical engine of the board; 1 if not known.
-  double slowness(board_engine const& one, time_point now) const;
+  double slowness(engine_entry const& one, time_point now) const;
   /// Time that a run would save by leaving this engine for a faster one that has room; 0 if it
   /// should stay. A run is expected to last as long again as it has lasted: few are long, and who
   /// has come far is likely to be one of them.
   /// @param events that the run has had.
-  milliseconds gain_of_move(board_engine const& from, run_need const& need, std::uint64_t events,
-                            time_point now);
+  milliseconds gain_of_move(engine_entry const& from, run_requirements const& need,
+                            std::uint64_t events, time_point now);
   /// Engines that were looked at to choose one, so far.
   std::uint64_t examined() const { return examined_; }
 
  private:
-  board_engine* find_own(std::string const& id);
-  void file(board_engine const& one);
+  engine_entry* find_own(std::string const& id);
+  void file(engine_entry const& one);
   void leave_group(std::string const& id, std::string const& group);
   /// An engine has started again: what was believed of it holds no more but its runs, which end by
   /// themselves.
-  static void begin_life(board_engine& one);
-  bool can_run(board_engine const& one, run_need const& need, time_point now) const;
+  static void begin_life(engine_entry& one);
+  bool can_run(engine_entry const& one, run_requirements const& need, time_point now) const;
   /// Lower is better.
-  double cost_of(board_engine const& one, run_need const& need, time_point now) const;
-  bool knows_gap(board_engine const& one, time_point now) const;
+  double cost_of(engine_entry const& one, run_requirements const& need, time_point now) const;
+  bool knows_gap(engine_entry const& one, time_point now) const;
   /// Computes the typical gap anew if it is some time ago.
   void refresh_typical_gap(time_point now);
 
@@ -124,7 +124,7 @@
   /// Median of the engines' gaps; 0: none is known.
   double typical_gap_ms_ = 0;
   time_point typical_gap_at_{};
-  std::map<std::string, board_engine> engines_;
+  std::map<std::string, engine_entry> engines_;
   engine_index index_;
   std::set<std::string> loading_;
   /// Engines whose gaps may be known.
--- a/src/engines/weight_orders.cc
+++ b/src/engines/weight_orders.cc
@@ -68,7 +68,7 @@
   for (std::string const& id : loading) settle_one(*board_.find(id), now);
 }
 
-void weight_orders::settle_one(board_engine const& one, time_point now) {
+void weight_orders::settle_one(engine_entry const& one, time_point now) {
   std::string const id = one.server.id;
   if (one.version_of(one.ordered_model) >= one.ordered_version) {
     log_line(
@@ -121,7 +121,7 @@
 
 awaitable<void> weight_orders::give(directory::server engine, planned_order order) {
   bool const known = co_await learn_sequence(engine);
-  board_engine const* one = board_.find(engine.id);
+  engine_entry const* one = board_.find(engine.id);
   if (one == nullptr) co_return;
   bool const needless = one->version_of(order.model) >= order.version;
   if (!known || needless || !authority_.may_order()) {
@@ -167,7 +167,7 @@
   settle(now);
   if (!authority_.may_order()) return;
   for (planned_order const& order : plan_orders(board_, needs_, options_)) {
-    board_engine const* const one = board_.find(order.engine);
+    engine_entry const* const one = board_.find(order.engine);
     // After a refusal `ordered_at` lies ahead.
     if (one == nullptr || one->ordered_at > now || one->blocked_until > now) continue;
     board_.begin_load(order.engine, order.model, order.version, now);
--- a/src/engines/weight_orders.h
+++ b/src/engines/weight_orders.h
@@ -22,7 +22,7 @@
   std::function<bool()> may_order;
   std::function<std::uint64_t()> fence;
   /// How runs on an engine are treated while it loads.
-  std::function<load_mode(board_engine const&)> mode_for;
+  std::function<load_mode(engine_entry const&)> mode_for;
 };
 
 class weight_orders {
@@ -56,7 +56,7 @@
   awaitable<bool> learn_sequence(directory::server engine);
   /// Sees which orders have been carried out, and looks into those that take long.
   void settle(time_point now);
-  void settle_one(board_engine const& one, time_point now);
+  void settle_one(engine_entry const& one, time_point now);
   awaitable<void> look_into(directory::server engine);
   /// What is known of an engine's count; nothing is, if it has started again since.
   engine_sequence& sequence_of(directory::server const& engine);
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -175,7 +175,7 @@
     pools_.note_servers(ids);
     quarantine_.note_servers_changed();
   });
-  servers_.on_new_life([this](directory::server const& one) {
+  servers_.on_server_restart([this](directory::server const& one) {
     connections_.forget(one.id);
     selector_.note_new_life(one.id);
   });
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -34,7 +34,7 @@
   ownership::owner_lease& lease = dependencies.lease;
   authority.may_order = [&lease] { return lease.may_order(boot_clock::now()); };
   authority.fence = [&lease] { return lease.epoch(); };
-  authority.mode_for = [&runner](engines::board_engine const& engine) {
+  authority.mode_for = [&runner](engines::engine_entry const& engine) {
     bool const bound = runner.has_single_version_run(engine.server.id);
     return bound ? engines::load_mode::wait_for_runs : engines::load_mode::keep_runs;
   };
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -49,8 +49,8 @@
   return k_names[static_cast<std::size_t>(end)];
 }
 
-engines::run_need sample_runner::need_of(job const& owner, sample const& one) const {
-  engines::run_need need;
+engines::run_requirements sample_runner::need_of(job const& owner, sample const& one) const {
+  engines::run_requirements need;
   need.service = one.service;
   need.model = owner.record.model;
   need.min_version = owner.record.min_version;
@@ -126,9 +126,9 @@
         [&](calls::service_share const& share) { return share.service == one.service; });
     if (!still_there) one.service = shares_.pick(*route);
     bool const isolated = must_be_isolated(owner, next.index, now);
-    engines::run_need need = need_of(owner, one);
+    engines::run_requirements need = need_of(owner, one);
     if (isolated) need.excluded = isolating_engines_;
-    engines::board_engine const* engine = dependencies_.board.choose(need, now);
+    engines::engine_entry const* engine = dependencies_.board.choose(need, now);
     if (engine == nullptr || !may_start(owner, next.index, now)) continue;
     start(owner, next.index, *engine, isolated);
     ++started;
@@ -136,7 +136,7 @@
   move_slow_runs(now);
 }
 
-void sample_runner::start(job& owner, std::uint32_t index, engines::board_engine const& engine,
+void sample_runner::start(job& owner, std::uint32_t index, engines::engine_entry const& engine,
                           bool isolated) {
   sample& one = owner.samples[index];
   run_key const key = dependencies_.table.start(owner, index, engine.server.id, boot_clock::now());
@@ -161,7 +161,7 @@
   for (auto& [id, open] : runs_) {
     if (open.moving) continue;
     sample const* one = dependencies_.table.running(keys_[id]);
-    engines::board_engine const* from = dependencies_.board.find(open.engine);
+    engines::engine_entry const* from = dependencies_.board.find(open.engine);
     if (one == nullptr || from == nullptr || one->events == 0) continue;
     job const* owner = dependencies_.table.find(keys_[id].job);
     milliseconds const gain =
@@ -321,7 +321,7 @@
   bool first = true;
   std::string piece;
   while (!with.is_whole() || !with.head().body().empty()) {
-    engines::board_engine const* board = dependencies_.board.find(engine);
+    engines::engine_entry const* board = dependencies_.board.find(engine);
     double const usual = board == nullptr ? 0 : board->event_gap_ms;
     bool const loading = board != nullptr && board->load == engines::load_state::ordered;
     milliseconds silence = std::max(
--- a/src/jobs/sample_runner.h
+++ b/src/jobs/sample_runner.h
@@ -94,7 +94,7 @@
   };
   using run_id = std::uint64_t;
 
-  engines::run_need need_of(job const& owner, sample const& one) const;
+  engines::run_requirements need_of(job const& owner, sample const& one) const;
   /// Whether the sample must not share its engine with another one of which this holds: it is tried
   /// under quarantine, or one more engine that ends under it would put it there.
   bool must_be_isolated(job& owner, std::uint32_t index, time_point now) const;
@@ -102,7 +102,7 @@
   bool may_start(job& owner, std::uint32_t index, time_point now);
   awaitable<void> ask_for_trial(quarantine::fingerprint request);
   /// @param isolated whether must_be_isolated held.
-  void start(job& owner, std::uint32_t index, engines::board_engine const& engine, bool isolated);
+  void start(job& owner, std::uint32_t index, engines::engine_entry const& engine, bool isolated);
   void move_slow_runs(time_point now);
   /// Has the engine looked at if it may have ended under the run, or may yet.
   void note_end_of_run(run_id id, run_key const& key, directory::server const& engine, run_end end,
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -84,7 +84,7 @@
   std::unique_ptr<rollout::service> rollout_;
   std::unique_ptr<operators::service> operators_;
   routing::metrics routing_metrics_{*registry_};
-  routing::claims claims_{context_, kv_};
+  routing::claim_store claims_{context_, kv_};
   std::unique_ptr<routing::proxy> proxy_;
   routing::health_watch health_watch_{context_, transport_, machines_, members_};
   rpc::dispatcher methods_;
@@ -116,7 +116,7 @@
     take_gossiped_leaving();
     return leaving_.is_leaving(server.id, server.incarnation, server.incarnation);
   };
-  hooks.heard_leaving = [this](machines::machine const& server) {
+  hooks.on_server_leaving = [this](machines::machine const& server) {
     members_.spread_leaving(server.id, server.incarnation);
   };
   proxy_ = std::make_unique<routing::proxy>(context_, transport_, config_, machines_, claims_,
@@ -277,7 +277,7 @@
     if (drain.record.leaving) {
       leaving_.mark(id, drain.record.incarnation, routing::leaving_source::operator_drain);
     } else {
-      leaving_.undo_operator(id);
+      leaving_.undo_operator_drain(id);
     }
   }
   if (state_ == node_state::starting && config_.is_complete()) state_ = node_state::serving;
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -37,15 +37,15 @@
 
 void crash_watch::note_broken(directory::server const& server, fingerprint const& request,
                               time_point sent_at) {
-  auto const [place, fresh] = broken_.try_emplace(server.life());
-  place->second.push_back({request, server.life(), sent_at, boot_clock::now()});
+  auto const [place, fresh] = broken_.try_emplace(server.incarnation());
+  place->second.push_back({request, server.incarnation(), sent_at, boot_clock::now()});
   if (fresh) spawn(context_, examine(server));
 }
 
 awaitable<void> crash_watch::examine(directory::server server) {
   co_await wait_for(k_settle_time);
   server_condition const condition = co_await find_condition(server);
-  auto node = broken_.extract(server.life());
+  auto node = broken_.extract(server.incarnation());
   std::vector<crash>& requests = node.mapped();
   log_line(log_level::info, k_part, "Server looked at after connections broke.",
            {{"server", server.id},
@@ -63,24 +63,24 @@
 
 void crash_watch::note_given_up(directory::server const& server, fingerprint const& request,
                                 time_point sent_at) {
-  auto const [place, fresh] = given_up_.try_emplace(server.life());
+  auto const [place, fresh] = given_up_.try_emplace(server.incarnation());
   std::vector<crash>& runs = place->second;
   if (runs.size() < k_most_given_up) {
-    runs.push_back({request, server.life(), sent_at, boot_clock::now()});
+    runs.push_back({request, server.incarnation(), sent_at, boot_clock::now()});
   }
   if (fresh) spawn(context_, follow_given_up(server));
 }
 
 awaitable<void> crash_watch::follow_given_up(directory::server server) {
-  std::string const life = server.life();
+  std::string const incarnation = server.incarnation();
   time_point seen_alive = boot_clock::now();
-  while (!given_up_.at(life).empty()) {
+  while (!given_up_.at(incarnation).empty()) {
     co_await wait_for(k_look_interval);
     time_point const begin = boot_clock::now();
     bool const open = has_open_connection(server, seen_alive);
     auto const condition = open ? server_condition::lives : co_await find_condition(server);
     if (condition == server_condition::ended) {
-      std::vector<crash> requests = extract_given_up(life);
+      std::vector<crash> requests = extract_given_up(incarnation);
       log_line(log_level::info, k_part, "Server ended after runs there were given up.",
                {{"server", server.id},
                 {"service", server.service},
@@ -90,13 +90,13 @@
       co_return;
     }
     if (condition == server_condition::lives) seen_alive = begin;
-    std::erase_if(given_up_.at(life), [&](crash const& one) {
+    std::erase_if(given_up_.at(incarnation), [&](crash const& one) {
       bool const over = one.ended_at + k_given_up_time <= begin;
       if (over) leave_undecided(server, one);
       return over;
     });
   }
-  given_up_.erase(life);
+  given_up_.erase(incarnation);
 }
 
 bool crash_watch::has_open_connection(directory::server const& server,
@@ -107,7 +107,8 @@
 void crash_watch::leave_undecided(directory::server const& server, crash const& run) {
   if (known_.directory == nullptr || has_open_connection(server, run.ended_at)) return;
   undecided_.add(server, run, boot_clock::now());
-  // The directory may have heard of the next life before this node woke to see the run's end.
+  // The directory may have heard of the next incarnation before this node woke to see the run's
+  // end.
   note_directory_change();
 }
 
@@ -117,7 +118,7 @@
   undecided_.drop_planned(
       [this](directory::server const& one) { return known_.directory->is_leaving(one); });
   std::vector<crash> crashes = undecided_.extract_replaced(
-      [this](directory::server const& one) { return known_.directory->is_replaced(one); });
+      [this](directory::server const& one) { return known_.directory->is_superseded(one); });
   if (crashes.empty()) return;
   log_line(log_level::info, k_part, "Servers have been replaced since their runs ended.",
            {{"server", crashes.front().server},
@@ -126,8 +127,8 @@
   on_crash_(std::move(crashes));
 }
 
-std::vector<crash> crash_watch::extract_given_up(std::string const& life) {
-  auto node = given_up_.extract(life);
+std::vector<crash> crash_watch::extract_given_up(std::string const& incarnation) {
+  auto node = given_up_.extract(incarnation);
   return node.empty() ? std::vector<crash>() : std::move(node.mapped());
 }
 
--- a/src/quarantine/crash_watch.h
+++ b/src/quarantine/crash_watch.h
@@ -61,8 +61,8 @@
   awaitable<void> examine(directory::server server);
   /// Looks at a server until no run that was given up there can end it any more.
   awaitable<void> follow_given_up(directory::server server);
-  /// Takes the runs that were given up on this life of a server.
-  std::vector<crash> extract_given_up(std::string const& life);
+  /// Takes the runs that were given up on this incarnation of a server.
+  std::vector<crash> extract_given_up(std::string const& incarnation);
   awaitable<server_condition> find_condition(directory::server server);
   bool has_open_connection(directory::server const& server, time_point made_before) const;
   /// Somebody listens at the server's address, or nobody answers: whether the server that had the
@@ -73,7 +73,7 @@
   asio::io_context& context_;
   server_knowledge known_;
   std::function<void(std::vector<crash>)> on_crash_;
-  /// By the server's life, while it is looked at.
+  /// By the server's incarnation, while it is looked at.
   std::map<std::string, std::vector<crash>> broken_;
   std::map<std::string, std::vector<crash>> given_up_;
   undecided_runs undecided_;
--- a/src/quarantine/undecided_runs.cc
+++ b/src/quarantine/undecided_runs.cc
@@ -10,10 +10,10 @@
 }
 
 std::vector<crash> undecided_runs::extract_replaced(
-    std::function<bool(directory::server const&)> const& is_replaced) {
+    std::function<bool(directory::server const&)> const& is_superseded) {
   std::vector<crash> found;
   std::erase_if(runs_, [&](undecided_run const& one) {
-    if (!is_replaced(one.server)) return false;
+    if (!is_superseded(one.server)) return false;
     found.push_back(one.run);
     return true;
   });
--- a/src/quarantine/undecided_runs.h
+++ b/src/quarantine/undecided_runs.h
@@ -28,7 +28,7 @@
   void add(directory::server const& server, crash run, time_point now);
   /// Takes the runs whose servers have been replaced since.
   std::vector<crash> extract_replaced(
-      std::function<bool(directory::server const&)> const& is_replaced);
+      std::function<bool(directory::server const&)> const& is_superseded);
   /// Forgets servers that are stopped on purpose.
   void drop_planned(std::function<bool(directory::server const&)> const& is_leaving);
   void expire(time_point now);
--- a/src/rollout/service.cc
+++ b/src/rollout/service.cc
@@ -140,8 +140,8 @@
 }
 
 void service::give_up_runs() {
-  for (auto const& [id, controller] : controllers_) controller->give_up_all();
-  for (auto const& controller : retired_) controller->give_up_all();
+  for (auto const& [id, controller] : controllers_) controller->abandon_all();
+  for (auto const& controller : retired_) controller->abandon_all();
 }
 
 std::size_t service::runs_in_flight() const {
--- a/src/routing/claims.cc
+++ b/src/routing/claim_store.cc
@@ -1,4 +1,4 @@
-#include "routing/claims.h"
+#include "routing/claim_store.h"
 
 #include "base/encoding.h"
 #include "config/keys.h"
@@ -12,11 +12,11 @@
 
 }  // namespace
 
-void claims::start() { spawn(context_, lease_loop()); }
+void claim_store::start() { spawn(context_, lease_loop()); }
 
-awaitable<void> claims::lease_loop() {
+awaitable<void> claim_store::lease_loop() {
   while (true) {
-    // The old lease is left to lapse with the claims that it holds.
+    // The old lease is left to lapse with the claim_store that it holds.
     auto granted = co_await service_.grant_lease(k_claim_memory_most);
     if (granted) {
       lease_ = granted.value();
@@ -26,7 +26,7 @@
   }
 }
 
-awaitable<claim_result> claims::claim(std::string route, std::string identifier) {
+awaitable<claim_result> claim_store::claim(std::string route, std::string identifier) {
   auto const age = boot_clock::now() - lease_granted_;
   bool const usable = lease_ != 0 && age < k_claim_memory_most - k_claim_memory_least;
   if (!usable) co_return claim_result::unreadable;
@@ -41,7 +41,7 @@
   co_return co_await read_back(key, token);
 }
 
-awaitable<claim_result> claims::read_back(std::string key, std::string token) {
+awaitable<claim_result> claim_store::read_back(std::string key, std::string token) {
   auto read = co_await service_.range(std::move(key));
   if (!read) co_return claim_result::unreadable;
   // Absent: the lost transaction may still take effect, so it can't be sent under this claim.
--- a/src/routing/claims.h
+++ b/src/routing/claim_store.h
@@ -22,9 +22,10 @@
   unreadable,
 };
 
-class claims {
+class claim_store {
  public:
-  claims(asio::io_context& context, kv::client& service) : context_(context), service_(service) {}
+  claim_store(asio::io_context& context, kv::client& service)
+      : context_(context), service_(service) {}
 
   void start();
   awaitable<claim_result> claim(std::string route, std::string identifier);
--- a/src/routing/leaving_tracker.cc
+++ b/src/routing/leaving_tracker.cc
@@ -22,7 +22,7 @@
   held = std::max(held, incarnation);
 }
 
-void leaving_tracker::undo_operator(std::string const& back_end) {
+void leaving_tracker::undo_operator_drain(std::string const& back_end) {
   auto const found = back_ends_.find(back_end);
   if (found == back_ends_.end()) return;
   found->second.incarnations.erase(leaving_source::operator_drain);
--- a/src/routing/leaving_tracker.h
+++ b/src/routing/leaving_tracker.h
@@ -25,7 +25,7 @@
   /// The source says that this incarnation leaves. Saying so again changes nothing.
   void mark(std::string const& back_end, std::uint64_t incarnation, leaving_source source);
   /// The operator takes the drain of this back end back.
-  void undo_operator(std::string const& back_end);
+  void undo_operator_drain(std::string const& back_end);
   /// Whether new work must not be sent to a back end.
   /// @param listed its incarnation in the machine list, by which the list and operators speak.
   /// @param own the incarnation that it gives itself; absent leaves its own word out.
--- a/src/routing/proxy.cc
+++ b/src/routing/proxy.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 proxy::proxy(asio::io_context& context, http::client& transport, config::store const& config,
-             machines::machine_list const& machines, claims& claim_registry, metrics& counters,
+             machines::machine_list const& machines, claim_store& claim_registry, metrics& counters,
              proxy_hooks hooks)
     : context_(context),
       transport_(transport),
@@ -171,7 +171,7 @@
 
 proxy::try_outcome proxy::take_answer(machines::machine const& server, http::response answer) {
   picker_.note_answer(server.id);
-  if (!http::header(answer, k_leaving_header).empty()) hooks_.heard_leaving(server);
+  if (!http::header(answer, k_leaving_header).empty()) hooks_.on_server_leaving(server);
   try_outcome outcome;
   if (!http::header(answer, k_not_run_header).empty()) {
     outcome.not_run = true;
--- a/src/routing/proxy.h
+++ b/src/routing/proxy.h
@@ -13,7 +13,7 @@
 #include "machines/machine_list.h"
 #include "routing/admission.h"
 #include "routing/back_end_picker.h"
-#include "routing/claims.h"
+#include "routing/claim_store.h"
 #include "routing/metrics.h"
 #include "routing/retry_budget.h"
 #include "rpc/problem.h"
@@ -34,13 +34,13 @@
   /// Whether a server must get nothing new.
   std::function<bool(machines::machine const&)> is_leaving;
   /// A server has said in an answer that it leaves.
-  std::function<void(machines::machine const&)> heard_leaving;
+  std::function<void(machines::machine const&)> on_server_leaving;
 };
 
 class proxy {
  public:
   proxy(asio::io_context& context, http::client& transport, config::store const& config,
-        machines::machine_list const& machines, claims& claim_registry, metrics& counters,
+        machines::machine_list const& machines, claim_store& claim_registry, metrics& counters,
         proxy_hooks hooks);
 
   /// Answers one request; a problem is answered at once.
@@ -82,7 +82,7 @@
   http::client& transport_;
   config::store const& config_;
   machines::machine_list const& machines_;
-  claims& claims_;
+  claim_store& claims_;
   metrics& metrics_;
   proxy_hooks hooks_;
   back_end_picker picker_;
--- a/tests/unit/directory/server_directory_test.cc
+++ b/tests/unit/directory/server_directory_test.cc
@@ -46,7 +46,7 @@
 TEST(server_directory_test, later_life_replaces_the_one_before_and_never_the_other_way) {
   server_directory all;
   int lives = 0;
-  all.on_new_life([&](server const&) { ++lives; });
+  all.on_server_restart([&](server const&) { ++lives; });
   one.born = 5;
   all.put(one);
   server next = one;
@@ -74,12 +74,12 @@
 TEST(server_directory_test, life_is_replaced_by_a_later_one_under_its_identifier) {
   server_directory all;
   all.put(one);
-  CHECK_FALSE(all.is_replaced(one));
+  CHECK_FALSE(all.is_superseded(one));
   server next = one;
   next.born = one.born + 1;
   all.put(next);
-  CHECK(all.is_replaced(one));
-  CHECK_FALSE(all.is_replaced(next));
+  CHECK(all.is_superseded(one));
+  CHECK_FALSE(all.is_superseded(next));
 }
 
 TEST(server_directory_test, life_is_replaced_by_another_one_at_its_address_in_its_service) {
@@ -89,10 +89,10 @@
   next.id = "e-2";
   next.service = "others";
   all.put(next);
-  CHECK_FALSE(all.is_replaced(one));
+  CHECK_FALSE(all.is_superseded(one));
   next.service = one.service;
   all.put(next);
-  CHECK(all.is_replaced(one));
+  CHECK(all.is_superseded(one));
 }
 
 TEST(server_directory_test, life_that_drains_is_leaving_and_the_next_one_is_not) {
--- a/tests/unit/engines/version_planner_test.cc
+++ b/tests/unit/engines/version_planner_test.cc
@@ -19,8 +19,8 @@
   return one;
 }
 
-run_need need_of(std::uint64_t min_version, std::string const& group = "g") {
-  run_need need;
+run_requirements need_of(std::uint64_t min_version, std::string const& group = "g") {
+  run_requirements need;
   need.service = "pool";
   need.model = "m";
   need.min_version = min_version;
@@ -263,7 +263,7 @@
 TEST(version_planner_test, run_moves_on_when_the_emptiest_engines_are_blocked_or_excluded) {
   set_engines(3, {{"m", 1}});
   board.block("e0", now + milliseconds(100));
-  run_need need = need_of(1);
+  run_requirements need = need_of(1);
   need.excluded.insert("e1");
   STRCMP_EQUAL("e2", board.choose(need, now)->server.id.c_str());
 }
--- a/tests/unit/routing/leaving_tracker_test.cc
+++ b/tests/unit/routing/leaving_tracker_test.cc
@@ -42,7 +42,7 @@
 TEST(leaving_tracker_test, operator_takes_back_only_its_own_word) {
   tracker.mark("a", 1, leaving_source::operator_drain);
   tracker.mark("a", 1, leaving_source::machine_list);
-  tracker.undo_operator("a");
+  tracker.undo_operator_drain("a");
   CHECK(tracker.is_leaving("a", 1, {}));
   LONGS_EQUAL(1, tracker.entries().size());
 }
