--- a/src/engines/controller.cc
+++ b/src/engines/controller.cc
@@ -12,7 +12,7 @@
 constexpr milliseconds k_first_load_backoff{100};
 constexpr milliseconds k_longest_load_backoff{1000};
 constexpr std::uint32_t k_retry_after_ms = 100;
-/// Reports missed in a row after which an engine is unreachable.
+/// Consecutive missed reports after which an engine counts as unreachable.
 constexpr int k_missed_reports = 2;
 
 bool serves(rpc::TaskRecordT const& task, std::string const& engine) {
@@ -44,9 +44,9 @@
   for (auto const& [name, task] : store.tasks()) {
     auto const published = store.versions().find(name);
     if (published == store.versions().end() || !serves(task.record, engine)) continue;
-    wanted_version& held = wanted[task.record.model];
-    if (published->second.record.version <= held.version) continue;
-    held = {published->second.record.version, published->second.record.weights};
+    wanted_version& newest = wanted[task.record.model];
+    if (published->second.record.version <= newest.version) continue;
+    newest = {published->second.record.version, published->second.record.weights};
   }
   return wanted;
 }
@@ -64,11 +64,11 @@
 
 void controller::start() {
   auto const self = shared_from_this();
-  spawn(context_, [](std::shared_ptr<controller> one) -> awaitable<void> {
-    co_await one->report_loop();
+  spawn(context_, [](std::shared_ptr<controller> instance) -> awaitable<void> {
+    co_await instance->report_loop();
   }(self));
-  spawn(context_, [](std::shared_ptr<controller> one) -> awaitable<void> {
-    co_await one->load_loop();
+  spawn(context_, [](std::shared_ptr<controller> instance) -> awaitable<void> {
+    co_await instance->load_loop();
   }(self));
 }
 
@@ -86,15 +86,16 @@
   return found == versions_.end() ? 0 : found->second;
 }
 
-void controller::take_report(load_report const& report) {
+void controller::apply_report(load_report const& report) {
   bool const restarted = report_.incarnation != 0 && report.incarnation != report_.incarnation;
   if (restarted) {
-    log_line(log_level::warning, k_part, "Engine has restarted.",
+    log_line(log_level::warning, k_part, "Engine restarted.",
              {{"engine", machine_.id}, {"incarnation", report.incarnation}});
   }
   bool const first = report_.incarnation == 0;
   report_ = report;
-  // Reports lag: they only tell what a new process holds. Later versions come by own orders.
+  // Reports lag, so they only set the versions of a new process. Later versions are recorded when
+  // this controller's orders complete.
   if (first || restarted) versions_ = report.versions;
   if (report.leaving) {
     leaving_.mark(machine_.id, report.incarnation, routing::leaving_source::back_end);
@@ -110,7 +111,7 @@
     auto const report = co_await client_.fetch_load();
     if (report) {
       missed = 0;
-      take_report(*report);
+      apply_report(*report);
     } else if (++missed == k_missed_reports) {
       state_ = engine_state::unreachable;
       log_line(log_level::warning, k_part, "Engine does not report.", {{"engine", machine_.id}});
@@ -120,7 +121,7 @@
   }
 }
 
-awaitable<bool> controller::bring_up_to_date() {
+awaitable<bool> controller::load_next_version() {
   for (auto const& [model, wanted] : wanted_versions(store_, machine_.id)) {
     if (version_of(model) >= wanted.version) continue;
     state_ = engine_state::loading;
@@ -131,16 +132,16 @@
     order_outcome const outcome = co_await client_.load(std::move(order), detail);
     if (outcome != order_outcome::done) {
       swap_error_ = detail;
-      log_line(log_level::warning, k_part, "Load order was not carried out.",
+      log_line(log_level::warning, k_part, "Load order failed.",
                {{"engine", machine_.id}, {"version", ordered_version}, {"detail", detail}});
       if (outcome == order_outcome::fenced) stopped_ = true;
       co_return false;
     }
     swap_error_.clear();
     versions_[ordered_model] = ordered_version;
-    log_line(log_level::info, k_part, "Engine holds a new version.",
+    log_line(log_level::info, k_part, "Engine loaded a new version.",
              {{"engine", machine_.id}, {"version", ordered_version}});
-    co_return false;  // the map may have changed: look again
+    co_return false;  // the wanted versions may have changed meanwhile
   }
   co_return true;
 }
@@ -152,7 +153,7 @@
       co_await wanted_changed_.wait();
       continue;
     }
-    bool const current = co_await bring_up_to_date();
+    bool const current = co_await load_next_version();
     if (current) {
       if (state_ != engine_state::leaving) state_ = engine_state::ready;
       backoff = k_first_load_backoff;
@@ -164,17 +165,17 @@
   }
 }
 
-void controller::give_up(std::string const& attempt, running_sample& sample, std::string why) {
-  if (sample.given_up) return;
-  sample.given_up = true;
-  sample.why = std::move(why);
-  spawn(context_, [](std::shared_ptr<controller> one, std::string id) -> awaitable<void> {
-    co_await one->cancel_at_engine(std::move(id));
+void controller::abandon(std::string const& attempt, running_sample& sample, std::string reason) {
+  if (sample.abandoned) return;
+  sample.abandoned = true;
+  sample.reason = std::move(reason);
+  spawn(context_, [](std::shared_ptr<controller> instance, std::string id) -> awaitable<void> {
+    co_await instance->cancel_at_engine(std::move(id));
   }(shared_from_this(), attempt));
 }
 
 void controller::abandon_all() {
-  for (auto& [attempt, sample] : running_) give_up(attempt, sample, "controller stops");
+  for (auto& [attempt, sample] : running_) abandon(attempt, sample, "controller stops");
 }
 
 awaitable<void> controller::cancel_at_engine(std::string attempt) {
@@ -187,18 +188,18 @@
     std::uint64_t const published = store_.published_version(sample.task);
     if (sample.spans.empty()) continue;
     if (is_within_bound(sample.spans, published, sample.freshness_bound)) continue;
-    give_up(attempt, sample, "freshness");
+    abandon(attempt, sample, "freshness");
   }
 }
 
 bool controller::cancel(std::string const& attempt) {
   auto const found = running_.find(attempt);
   if (found == running_.end()) return false;
-  give_up(attempt, found->second, "cancelled");
+  abandon(attempt, found->second, "cancelled");
   return true;
 }
 
-std::string controller::refusal_for(rpc::RunSampleRequestT const& request) const {
+std::string controller::refusal_reason(rpc::RunSampleRequestT const& request) const {
   if (stopped_) return "not_controller";
   if (is_leaving()) return "leaving";
   if (report_.incarnation == 0) return "not_ready";
@@ -223,7 +224,7 @@
 }
 
 awaitable<rpc::RunSampleResponseT> controller::run(rpc::RunSampleRequestT request) {
-  std::string const refusal = refusal_for(request);
+  std::string const refusal = refusal_reason(request);
   if (!refusal.empty()) co_return make_response(rpc::RunOutcome::REFUSED, refusal);
   auto const self = shared_from_this();
   running_sample& sample = running_[request.attempt];
@@ -241,7 +242,7 @@
   wanted.resume_tokens = token_count(sample.spans);
   wanted.epoch = epoch_;
   auto on_tokens = [&sample](token_event const& event) {
-    if (sample.given_up) return false;
+    if (sample.abandoned) return false;
     sample.text += event.text;
     append_span(sample.spans, event.version, event.tokens);
     return true;
@@ -253,7 +254,7 @@
   if (outcome.end == completion_end::finished) end = rpc::RunOutcome::FINISHED;
   if (outcome.end == completion_end::refused) end = rpc::RunOutcome::REFUSED;
   if (outcome.end == completion_end::rejected) end = rpc::RunOutcome::REJECTED;
-  auto response = make_response(end, done.given_up ? done.why : outcome.detail);
+  auto response = make_response(end, done.abandoned ? done.reason : outcome.detail);
   response.text = done.text;
   response.spans = to_wire(done.spans);
   response.engine_version = version_of(request.model);
--- a/src/engines/controller.h
+++ b/src/engines/controller.h
@@ -1,5 +1,5 @@
-/// @file Controls one engine for as long as this node owns it: watches its load, brings versions
-/// onto it, admits samples and streams them.
+/// @file Controls one engine while this node owns it: polls its load report, loads published weight
+/// versions, admits samples and streams their results.
 #pragma once
 
 #include <map>
@@ -15,21 +15,22 @@
 
 namespace frostline::engines {
 
-/// Lifecycle of an engine under control.
-/// unknown -> loading (a version is ordered) -> ready (all wanted versions are in force);
-/// any state -> unreachable (no load report) and back to loading; any -> leaving, which is final
-/// for an incarnation.
+/// Lifecycle of a controlled engine.
+/// unknown -> loading (a load order was sent) -> ready (all wanted versions are loaded);
+/// any state -> unreachable (load reports missing), then back to loading; any state -> leaving,
+/// which is final for an incarnation.
 enum class engine_state { unknown, loading, ready, unreachable, leaving };
 
 std::string_view to_string(engine_state state);
 
-/// A version that an engine should hold.
+/// Newest published version of a model, and where its weights are.
 struct wanted_version {
   std::uint64_t version = 0;
   std::string weights;
 };
 
-/// The versions that `engine` should hold, by model: the newest published for any task it serves.
+/// Returns the version that `engine` should hold of each model: the newest one published for any of
+/// the tasks that the engine serves.
 std::map<std::string, wanted_version> wanted_versions(config::store const& store,
                                                       std::string const& engine);
 
@@ -39,15 +40,17 @@
              routing::leaving_tracker& leaving, machines::machine machine, kv::revision epoch);
 
   void start();
-  /// This node no longer owns the engine; samples in flight go on.
+  /// Ends control after a loss of ownership. Samples in flight continue.
   void stop();
-  /// New configuration may want new versions, and may have made samples too old to go on.
+  /// Reevaluates the wanted versions, and abandons samples that exceed their freshness bound.
   void on_config_change();
 
-  /// Runs a sample to its end, or says why not.
+  /// Runs a sample to completion. The response carries the reason if the sample was refused or
+  /// interrupted.
   awaitable<rpc::RunSampleResponseT> run(rpc::RunSampleRequestT request);
+  /// @return false if the attempt is not in flight.
   bool cancel(std::string const& attempt);
-  /// Interrupts all samples in flight; their owners go on with them elsewhere.
+  /// Interrupts all samples in flight. Their owners resume them on other engines.
   void abandon_all();
 
   rpc::EngineStatusT status() const;
@@ -61,17 +64,19 @@
     std::uint32_t freshness_bound = 0;
     span_list spans;
     std::string text;
-    bool given_up = false;
-    std::string why;
+    bool abandoned = false;
+    std::string reason;
   };
 
   awaitable<void> report_loop();
   awaitable<void> load_loop();
-  awaitable<bool> bring_up_to_date();
+  /// Orders the first model version that is behind. @return true if all versions are current.
+  awaitable<bool> load_next_version();
   awaitable<void> cancel_at_engine(std::string attempt);
-  void take_report(load_report const& report);
-  std::string refusal_for(rpc::RunSampleRequestT const& request) const;
-  void give_up(std::string const& attempt, running_sample& sample, std::string why);
+  void apply_report(load_report const& report);
+  /// Returns an empty string if the sample can be admitted.
+  std::string refusal_reason(rpc::RunSampleRequestT const& request) const;
+  void abandon(std::string const& attempt, running_sample& sample, std::string reason);
   rpc::RunSampleResponseT make_response(rpc::RunOutcome outcome, std::string reason) const;
   bool is_leaving() const;
   std::uint64_t version_of(std::string const& model) const;
--- a/src/engines/engine_board.cc
+++ b/src/engines/engine_board.cc
@@ -7,27 +7,27 @@
 namespace {
 
 constexpr double k_gap_smoothing = 0.15;
-/// A measured gap says nothing about an engine that has not been used for that long.
-constexpr milliseconds k_gap_memory{6000};
+/// Age at which the event gap of an unused engine expires.
+constexpr milliseconds k_gap_ttl{6000};
 constexpr milliseconds k_typical_gap_interval{50};
 constexpr milliseconds k_first_block{300};
-constexpr std::uint32_t k_most_block_doublings = 3;
-/// A run moves only to an engine that is this many times as fast, and if that saves it so much
-/// time: a move costs a request and the reading of the prompt.
+constexpr std::uint32_t k_max_block_doublings = 3;
+/// Speedup and saved time that a move must promise, since it costs a request and a prefill of the
+/// prompt.
 constexpr double k_move_ratio = 1.2;
-constexpr milliseconds k_least_gain{200};
-/// An engine that holds the group's prompt is preferred up to this much more load.
+constexpr milliseconds k_min_gain{200};
+/// Cost reduction for an engine that has the group's prompt cached.
 constexpr double k_group_bonus = 0.3;
 
 }  // namespace
 
-void engine_board::begin_life(engine_entry& one) {
-  one.versions.clear();
-  one.event_gap_ms = 0;
-  one.blocked_until = time_point::min();
-  one.failures_in_row = 0;
-  one.load = load_state::idle;
-  one.ordered_at = time_point{};
+void engine_board::reset_for_restart(engine_entry& engine) {
+  engine.versions.clear();
+  engine.event_gap_ms = 0;
+  engine.blocked_until = time_point::min();
+  engine.failures_in_row = 0;
+  engine.load = load_state::idle;
+  engine.ordered_at = time_point{};
 }
 
 std::uint64_t engine_entry::version_of(std::string const& model) const {
@@ -38,47 +38,48 @@
 void engine_board::update(std::vector<directory::server const*> const& servers) {
   std::set<std::string> listed;
   for (directory::server const* server : servers) listed.insert(server->id);
-  std::vector<std::string> gone;
-  for (auto const& [id, one] : engines_) {
-    if (!listed.contains(id)) gone.push_back(id);
+  std::vector<std::string> removed;
+  for (auto const& [id, engine] : engines_) {
+    if (!listed.contains(id)) removed.push_back(id);
   }
-  for (std::string const& id : gone) remove(id);
+  for (std::string const& id : removed) remove(id);
   for (directory::server const* server : servers) put(*server);
 }
 
 void engine_board::put(directory::server const& server) {
-  auto const [place, fresh] = engines_.try_emplace(server.id);
-  engine_entry& one = place->second;
-  if (!fresh && one.server == server) return;
-  if (server.born > one.server.born) begin_life(one);
-  one.server = server;
+  auto const [position, inserted] = engines_.try_emplace(server.id);
+  engine_entry& engine = position->second;
+  if (!inserted && engine.server == server) return;
+  if (server.born > engine.server.born) reset_for_restart(engine);
+  engine.server = server;
   for (auto const& [model, version] : server.models) {
-    std::uint64_t& held = one.versions[model];
+    std::uint64_t& held = engine.versions[model];
     held = std::max(held, version);
   }
-  if (one.load == load_state::idle) loading_.erase(server.id);
-  file(one);
+  if (engine.load == load_state::idle) loading_.erase(server.id);
+  update_index(engine);
 }
 
 void engine_board::remove(std::string const& id) {
   auto const found = engines_.find(id);
   if (found == engines_.end()) return;
-  for (auto const& [group, runs] : found->second.groups) leave_group(id, group);
+  for (auto const& [group, runs] : found->second.groups) remove_from_group(id, group);
   engines_.erase(found);
   index_.remove(id);
   loading_.erase(id);
   measured_.erase(id);
 }
 
-void engine_board::file(engine_entry const& one) {
-  engine_standing standing;
-  standing.id = one.server.id;
-  standing.ready = one.server.state == directory::server_state::ready;
-  standing.slots = one.server.slots;
-  standing.in_flight = one.in_flight;
-  standing.versions = one.versions;
-  if (one.load == load_state::ordered) standing.load = {one.ordered_model, one.ordered_version};
-  index_.put(standing);
+void engine_board::update_index(engine_entry const& entry) {
+  engine_summary summary;
+  summary.id = entry.server.id;
+  summary.ready = entry.server.state == directory::server_state::ready;
+  summary.slots = entry.server.slots;
+  summary.in_flight = entry.in_flight;
+  summary.versions = entry.versions;
+  if (entry.load == load_state::ordered)
+    summary.load = {entry.ordered_model, entry.ordered_version};
+  index_.put(summary);
 }
 
 engine_entry const* engine_board::find(std::string const& id) const {
@@ -86,48 +87,48 @@
   return found == engines_.end() ? nullptr : &found->second;
 }
 
-engine_entry* engine_board::find_own(std::string const& id) {
+engine_entry* engine_board::find_mutable(std::string const& id) {
   auto const found = engines_.find(id);
   return found == engines_.end() ? nullptr : &found->second;
 }
 
 void engine_board::set_version(std::string const& id, std::string const& model,
                                std::uint64_t version) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr || one->version_of(model) == version) return;
-  one->versions[model] = version;
-  file(*one);
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr || engine->version_of(model) == version) return;
+  engine->versions[model] = version;
+  update_index(*engine);
 }
 
 void engine_board::raise_version(std::string const& id, std::string const& model,
                                  std::uint64_t version) {
-  engine_entry const* const one = find(id);
-  if (one != nullptr) set_version(id, model, std::max(one->version_of(model), version));
+  engine_entry const* const engine = find(id);
+  if (engine != nullptr) set_version(id, model, std::max(engine->version_of(model), version));
 }
 
 void engine_board::begin_load(std::string const& id, std::string const& model,
                               std::uint64_t version, time_point now) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr) return;
-  one->load = load_state::ordered;
-  one->ordered_at = now;
-  one->ordered_model = model;
-  one->ordered_version = version;
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr) return;
+  engine->load = load_state::ordered;
+  engine->ordered_at = now;
+  engine->ordered_model = model;
+  engine->ordered_version = version;
   loading_.insert(id);
-  file(*one);
+  update_index(*engine);
 }
 
 void engine_board::set_ordered_at(std::string const& id, time_point at) {
-  engine_entry* const one = find_own(id);
-  if (one != nullptr) one->ordered_at = at;
+  engine_entry* const engine = find_mutable(id);
+  if (engine != nullptr) engine->ordered_at = at;
 }
 
 void engine_board::end_load(std::string const& id) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr || one->load == load_state::idle) return;
-  one->load = load_state::idle;
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr || engine->load == load_state::idle) return;
+  engine->load = load_state::idle;
   loading_.erase(id);
-  file(*one);
+  update_index(*engine);
 }
 
 void engine_board::end_all_loads() {
@@ -135,89 +136,92 @@
   for (std::string const& id : all) end_load(id);
 }
 
-bool engine_board::can_run(engine_entry const& one, run_requirements const& need,
+bool engine_board::can_run(engine_entry const& engine, run_requirements const& requirements,
                            time_point now) const {
-  if (one.server.service != need.service) return false;
-  if (one.server.state != directory::server_state::ready) return false;
-  // A load concerns the runs of its own model only.
-  bool const loading = one.load == load_state::ordered && one.ordered_model == need.model;
-  if (loading || one.blocked_until > now) return false;
-  if (need.excluded.contains(one.server.id)) return false;
-  if (one.in_flight >= one.server.slots) return false;
-  bool const fits = cache_tokens_ == 0 || one.in_flight == 0 ||
-                    one.tokens_in_flight + need.tokens <= cache_tokens_;
+  if (engine.server.service != requirements.service) return false;
+  if (engine.server.state != directory::server_state::ready) return false;
+  // A load only blocks runs of the same model.
+  bool const loading =
+      engine.load == load_state::ordered && engine.ordered_model == requirements.model;
+  if (loading || engine.blocked_until > now) return false;
+  if (requirements.excluded.contains(engine.server.id)) return false;
+  if (engine.in_flight >= engine.server.slots) return false;
+  bool const fits = cache_tokens_ == 0 || engine.in_flight == 0 ||
+                    engine.tokens_in_flight + requirements.tokens <= cache_tokens_;
   if (!fits) return false;
-  auto const version = one.versions.find(need.model);
-  if (version == one.versions.end()) return false;
-  if (need.exact_version) return version->second == *need.exact_version;
-  return version->second >= need.min_version;
+  auto const version = engine.versions.find(requirements.model);
+  if (version == engine.versions.end()) return false;
+  if (requirements.exact_version) return version->second == *requirements.exact_version;
+  return version->second >= requirements.min_version;
 }
 
-double engine_board::cost_of(engine_entry const& one, run_requirements const& need,
+double engine_board::cost_of(engine_entry const& engine, run_requirements const& requirements,
                              time_point now) const {
-  double const load = static_cast<double>(one.in_flight) / std::max(one.server.slots, 1U);
-  double const bonus = one.groups.contains(need.group) ? k_group_bonus : 0.0;
-  return slowness(one, now) * (1.0 + load) - bonus;
+  double const load = static_cast<double>(engine.in_flight) / std::max(engine.server.slots, 1U);
+  double const bonus = engine.groups.contains(requirements.group) ? k_group_bonus : 0.0;
+  return slowness(engine, now) * (1.0 + load) - bonus;
 }
 
-engine_entry const* engine_board::choose(run_requirements const& need, time_point now) {
+engine_entry const* engine_board::choose(run_requirements const& requirements, time_point now) {
   refresh_typical_gap(now);
   engine_entry const* best = nullptr;
   double best_cost = 0;
   auto const consider = [&](std::string const& id) -> engine_entry const* {
     ++examined_;
-    engine_entry const* const one = find(id);
-    if (one == nullptr || !can_run(*one, need, now)) return nullptr;
-    double const cost = cost_of(*one, need, now);
+    engine_entry const* const engine = find(id);
+    if (engine == nullptr || !can_run(*engine, requirements, now)) return nullptr;
+    double const cost = cost_of(*engine, requirements, now);
     bool const better = best == nullptr || cost < best_cost ||
-                        (cost == best_cost && one->server.id < best->server.id);
+                        (cost == best_cost && engine->server.id < best->server.id);
     if (better) {
-      best = one;
+      best = engine;
       best_cost = cost;
     }
-    return one;
+    return engine;
   };
   for (std::string const& id : measured_) consider(id);
-  auto const group = groups_.find(need.group);
+  auto const group = groups_.find(requirements.group);
   if (group != groups_.end()) {
     for (std::string const& id : group->second) consider(id);
   }
-  std::uint64_t const least = need.exact_version.value_or(need.min_version);
-  std::uint64_t const most = need.exact_version.value_or(std::numeric_limits<std::uint64_t>::max());
-  // Of those that nothing else speaks for, the emptiest is the best.
-  index_.visit_emptiest(need.model, least, most, [&](std::string const& id) {
-    engine_entry const* const one = consider(id);
-    return one != nullptr && !knows_gap(*one, now);
-  });
+  std::uint64_t const min_version = requirements.exact_version.value_or(requirements.min_version);
+  std::uint64_t const max_version =
+      requirements.exact_version.value_or(std::numeric_limits<std::uint64_t>::max());
+  // Among the engines without a recent event gap, the least loaded one has the lowest cost.
+  index_.visit_least_loaded(requirements.model, min_version, max_version,
+                            [&](std::string const& id) {
+                              engine_entry const* const engine = consider(id);
+                              return engine != nullptr && !has_recent_gap(*engine, now);
+                            });
   return best;
 }
 
 void engine_board::note_started(std::string const& id, std::uint64_t tokens,
                                 std::string const& group) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr) return;
-  ++one->in_flight;
-  one->tokens_in_flight += tokens;
-  ++one->groups[group];
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr) return;
+  ++engine->in_flight;
+  engine->tokens_in_flight += tokens;
+  ++engine->groups[group];
   groups_[group].insert(id);
-  file(*one);
+  update_index(*engine);
 }
 
 void engine_board::note_ended(std::string const& id, std::uint64_t tokens,
                               std::string const& group) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr) return;
-  if (one->in_flight > 0) --one->in_flight;
-  one->tokens_in_flight -= std::min(tokens, one->tokens_in_flight);
-  auto const held = one->groups.find(group);
-  if (held != one->groups.end() && --held->second == 0) {
-    one->groups.erase(held);
-    leave_group(id, group);
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr) return;
+  if (engine->in_flight > 0) --engine->in_flight;
+  engine->tokens_in_flight -= std::min(tokens, engine->tokens_in_flight);
+  auto const runs = engine->groups.find(group);
+  if (runs != engine->groups.end() && --runs->second == 0) {
+    engine->groups.erase(runs);
+    remove_from_group(id, group);
   }
-  file(*one);
+  update_index(*engine);
 }
 
-void engine_board::leave_group(std::string const& id, std::string const& group) {
+void engine_board::remove_from_group(std::string const& id, std::string const& group) {
   auto const found = groups_.find(group);
   if (found == groups_.end()) return;
   found->second.erase(id);
@@ -225,43 +229,45 @@
 }
 
 void engine_board::note_event_gap(std::string const& id, milliseconds gap, time_point now) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr) return;
-  double const sample = static_cast<double>(gap.count());
-  bool const fresh = one->event_gap_ms == 0 || now - one->gap_known_at > k_gap_memory;
-  one->event_gap_ms =
-      fresh ? sample : one->event_gap_ms + k_gap_smoothing * (sample - one->event_gap_ms);
-  one->gap_known_at = now;
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr) return;
+  double const gap_ms = static_cast<double>(gap.count());
+  bool const restart_average =
+      engine->event_gap_ms == 0 || now - engine->gap_updated_at > k_gap_ttl;
+  engine->event_gap_ms =
+      restart_average ? gap_ms
+                      : engine->event_gap_ms + k_gap_smoothing * (gap_ms - engine->event_gap_ms);
+  engine->gap_updated_at = now;
   measured_.insert(id);
 }
 
 void engine_board::note_failure(std::string const& id, time_point now) {
-  engine_entry* const one = find_own(id);
-  if (one == nullptr) return;
-  auto const doublings = std::min(one->failures_in_row++, k_most_block_doublings);
+  engine_entry* const engine = find_mutable(id);
+  if (engine == nullptr) return;
+  auto const doublings = std::min(engine->failures_in_row++, k_max_block_doublings);
   block(id, now + k_first_block * (1 << doublings));
 }
 
 void engine_board::note_success(std::string const& id) {
-  engine_entry* const one = find_own(id);
-  if (one != nullptr) one->failures_in_row = 0;
+  engine_entry* const engine = find_mutable(id);
+  if (engine != nullptr) engine->failures_in_row = 0;
 }
 
 void engine_board::block(std::string const& id, time_point until) {
-  engine_entry* const one = find_own(id);
-  if (one != nullptr) one->blocked_until = std::max(one->blocked_until, until);
+  engine_entry* const engine = find_mutable(id);
+  if (engine != nullptr) engine->blocked_until = std::max(engine->blocked_until, until);
 }
 
-bool engine_board::knows_gap(engine_entry const& one, time_point now) const {
-  return one.event_gap_ms > 0 && now - one.gap_known_at <= k_gap_memory;
+bool engine_board::has_recent_gap(engine_entry const& engine, time_point now) const {
+  return engine.event_gap_ms > 0 && now - engine.gap_updated_at <= k_gap_ttl;
 }
 
 void engine_board::refresh_typical_gap(time_point now) {
   if (now - typical_gap_at_ < k_typical_gap_interval) return;
   typical_gap_at_ = now;
   std::erase_if(measured_, [&](std::string const& id) {
-    engine_entry const* const one = find(id);
-    return one == nullptr || !knows_gap(*one, now);
+    engine_entry const* const engine = find(id);
+    return engine == nullptr || !has_recent_gap(*engine, now);
   });
   std::vector<double> gaps;
   for (std::string const& id : measured_) gaps.push_back(find(id)->event_gap_ms);
@@ -272,24 +278,26 @@
   typical_gap_ms_ = *middle;
 }
 
-double engine_board::slowness(engine_entry const& one, time_point now) const {
-  if (typical_gap_ms_ <= 0 || !knows_gap(one, now)) return 1.0;
-  return std::max(one.event_gap_ms / typical_gap_ms_, 0.5);
+double engine_board::slowness(engine_entry const& engine, time_point now) const {
+  if (typical_gap_ms_ <= 0 || !has_recent_gap(engine, now)) return 1.0;
+  return std::max(engine.event_gap_ms / typical_gap_ms_, 0.5);
 }
 
-milliseconds engine_board::gain_of_move(engine_entry const& from, run_requirements const& need,
-                                        std::uint64_t events, time_point now) {
+milliseconds engine_board::gain_of_move(engine_entry const& from,
+                                        run_requirements const& requirements, std::uint64_t events,
+                                        time_point now) {
   refresh_typical_gap(now);
-  double const own = slowness(from, now);
-  if (own < k_move_ratio) return milliseconds(0);
-  engine_entry const* const other = choose(need, now);
-  // An engine that has not been used lately may be the slow one that was left.
-  if (other == nullptr || other == &from || !knows_gap(*other, now)) return milliseconds(0);
-  double const next = slowness(*other, now);
-  if (own < k_move_ratio * next) return milliseconds(0);
-  double const saved = (own - next) * typical_gap_ms_ * static_cast<double>(events);
+  double const own_slowness = slowness(from, now);
+  if (own_slowness < k_move_ratio) return milliseconds(0);
+  engine_entry const* const other = choose(requirements, now);
+  // An engine of unknown speed may be the slow one that the run has just left.
+  if (other == nullptr || other == &from || !has_recent_gap(*other, now)) return milliseconds(0);
+  double const other_slowness = slowness(*other, now);
+  if (own_slowness < k_move_ratio * other_slowness) return milliseconds(0);
+  double const saved =
+      (own_slowness - other_slowness) * typical_gap_ms_ * static_cast<double>(events);
   auto const gain = milliseconds(static_cast<std::int64_t>(saved));
-  return gain < k_least_gain ? milliseconds(0) : gain;
+  return gain < k_min_gain ? milliseconds(0) : gain;
 }
 
 }  // namespace frostline::engines
--- a/src/engines/engine_client.cc
+++ b/src/engines/engine_client.cc
@@ -10,14 +10,14 @@
 constexpr milliseconds k_report_timeout{1000};
 constexpr milliseconds k_cancel_timeout{1000};
 constexpr milliseconds k_load_timeout{20'000};
-/// An engine that sends nothing for this long is taken to be broken.
+/// Time without data after which a stream is considered broken.
 constexpr milliseconds k_stream_idle_timeout{15'000};
-/// Tokens that the engine is asked to put into one event: events, not tokens, cost time here. What
-/// an engine has not sent when it breaks is generated again.
+/// Tokens per stream event. Processing cost grows with the number of events, but tokens that an
+/// engine has not sent when it fails are generated again.
 constexpr std::uint32_t k_stream_interval = 16;
 constexpr std::string_view k_stream_end = "[DONE]";
 
-std::uint32_t small_number(json::object const& object, std::string_view key) {
+std::uint32_t json_uint32(json::object const& object, std::string_view key) {
   return static_cast<std::uint32_t>(json_number(object, key));
 }
 
@@ -50,9 +50,9 @@
   if (!body) return std::nullopt;
   load_report report;
   report.incarnation = static_cast<std::uint64_t>(json_number(*body, "incarnation"));
-  report.running = small_number(*body, "running");
-  report.waiting = small_number(*body, "waiting");
-  report.slots = small_number(*body, "slots");
+  report.running = json_uint32(*body, "running");
+  report.waiting = json_uint32(*body, "waiting");
+  report.slots = json_uint32(*body, "slots");
   report.leaving = json_flag(*body, "leaving");
   auto const* models = body->if_contains("models");
   if (models == nullptr || !models->is_array()) return report;
@@ -66,7 +66,7 @@
 
 awaitable<std::optional<load_report>> engine_client::fetch_load() {
   auto message = http::make_get("/v1/load");
-  auto answer = co_await transport_.exchange(where_, std::move(message), k_report_timeout);
+  auto answer = co_await transport_.exchange(endpoint_, std::move(message), k_report_timeout);
   if (!answer || answer.value().result() != http::status::ok) co_return std::nullopt;
   co_return parse_load_report(answer.value().body());
 }
@@ -97,9 +97,10 @@
     return true;
   };
   auto message = http::make_post("/v1/completions", completion_body(request), http::k_json);
-  auto answer = co_await transport_.stream(where_, std::move(message), k_stream_idle_timeout, sink);
+  auto answer =
+      co_await transport_.stream(endpoint_, std::move(message), k_stream_idle_timeout, sink);
   if (!answer) {
-    // Nothing was sent to an engine that could not be reached.
+    // The request was not sent if the connection failed.
     bool const unreached = answer.error() == http::errc::connect_failed;
     completion_outcome outcome;
     outcome.end = unreached ? completion_end::refused : completion_end::interrupted;
@@ -117,7 +118,7 @@
 awaitable<void> engine_client::cancel(std::string request_id) {
   json::object const body{{"request_id", request_id}};
   auto message = http::make_post("/v1/cancel", json::serialize(body), http::k_json);
-  co_await transport_.exchange(where_, std::move(message), k_cancel_timeout);
+  co_await transport_.exchange(endpoint_, std::move(message), k_cancel_timeout);
 }
 
 awaitable<order_outcome> engine_client::load(load_order order, std::string& detail) {
@@ -126,7 +127,7 @@
                           {"weights", order.weights},
                           {"epoch", order.epoch}};
   auto message = http::make_post("/v1/orders/load", json::serialize(body), http::k_json);
-  auto answer = co_await transport_.exchange(where_, std::move(message), k_load_timeout);
+  auto answer = co_await transport_.exchange(endpoint_, std::move(message), k_load_timeout);
   if (!answer) {
     detail = answer.error().message();
     co_return order_outcome::failed;
--- a/src/engines/engine_client.h
+++ b/src/engines/engine_client.h
@@ -1,4 +1,5 @@
-/// @file One engine's published protocol: completions, cancel, load reports and fenced orders.
+/// @file Client of one engine's HTTP API: completions, cancellation, load reports and fenced load
+/// orders.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 namespace frostline::engines {
 
-/// What an engine last said of itself, late by its lag.
+/// Status that an engine reports. It may lag behind the engine's actual state.
 struct load_report {
   std::uint64_t incarnation = 0;
   std::uint32_t running = 0;
@@ -20,6 +21,7 @@
   std::map<std::string, std::uint64_t> versions;
 };
 
+/// @return nothing if `json` is not a JSON object.
 std::optional<load_report> parse_load_report(std::string const& json);
 
 struct completion_request {
@@ -35,13 +37,13 @@
 
 /// How a completion ended.
 enum class completion_end {
-  /// The stream came to its proper end.
+  /// The stream ended with its end marker.
   finished,
-  /// The engine refused; nothing was run.
+  /// The engine refused the request, or was not reached; nothing ran.
   refused,
-  /// The engine will never run this request.
+  /// The request is invalid and must not be retried.
   rejected,
-  /// The stream broke; what came before it is good.
+  /// The stream broke; the events received before that are valid.
   interrupted,
 };
 
@@ -50,7 +52,6 @@
   std::string detail;
 };
 
-/// A load order and what became of it.
 struct load_order {
   std::string model;
   std::uint64_t version = 0;
@@ -62,20 +63,20 @@
 
 class engine_client {
  public:
-  engine_client(http::client& transport, endpoint where)
-      : transport_(transport), where_(std::move(where)) {}
+  engine_client(http::client& transport, endpoint address)
+      : transport_(transport), endpoint_(std::move(address)) {}
 
   awaitable<std::optional<load_report>> fetch_load();
-  /// Streams a completion. `on_tokens` returns false to give it up.
+  /// Streams a completion. `on_tokens` returns false to abort the request.
   awaitable<completion_outcome> complete(completion_request request,
                                          std::function<bool(token_event const&)> on_tokens);
   awaitable<void> cancel(std::string request_id);
-  /// @param detail set to the engine's words if the order is not done.
+  /// @param detail set to the engine's error message if the order failed.
   awaitable<order_outcome> load(load_order order, std::string& detail);
 
  private:
   http::client& transport_;
-  endpoint where_;
+  endpoint endpoint_;
 };
 
 }  // namespace frostline::engines
--- a/src/engines/engine_index.h
+++ b/src/engines/engine_index.h
@@ -1,5 +1,5 @@
-/// @file Engines by what they hold and how full they are, kept up as single engines change, so that
-/// neither the choice of an engine for a run nor the next order looks through the whole pool. Pure.
+/// @file Index of a pool's engines by loaded version and utilization. It is updated incrementally,
+/// so that choosing an engine or planning the next load does not scan the whole pool. Pure.
 #pragma once
 
 #include <cstddef>
@@ -15,128 +15,133 @@
 
 namespace frostline::engines {
 
-/// How one engine stands; what the index files it by.
-struct engine_standing {
+/// State of one engine that the index depends on.
+struct engine_summary {
   std::string id;
   bool ready = false;
   std::uint32_t slots = 1;
   std::uint32_t in_flight = 0;
   std::map<std::string, std::uint64_t> versions;
-  /// The load that is under way, if one is.
+  /// Model and version of the load in progress.
   std::optional<std::pair<std::string, std::uint64_t>> load;
 };
 
-/// Stands for an engine's identifier while the engine is filed.
+/// Compact identifier of an engine while it is in the index; reused after its removal.
 using engine_number = std::uint32_t;
 
-/// Engines of one model that may be ordered to load it, the best first.
+/// Iterates over the engines that may be ordered to load a model, the best candidates first.
 class load_candidates {
  public:
-  /// Models that an engine serves with a recent version, runs on it, engine.
+  /// Number of models that the engine holds in a recent version, its requests in flight, engine.
   using rank = std::tuple<std::uint32_t, std::uint32_t, engine_number>;
-  using by_version = std::map<std::uint64_t, std::set<rank>>;
+  using version_buckets = std::map<std::uint64_t, std::set<rank>>;
 
-  /// @param newest version to be loaded. @param slack how many versions behind it a job may use.
-  load_candidates(by_version const& all, std::uint64_t newest, std::uint64_t slack);
+  /// @param newest version to load.
+  /// @param allowed_lag number of versions behind the newest that jobs may use.
+  load_candidates(version_buckets const& all, std::uint64_t newest, std::uint64_t allowed_lag);
 
-  bool empty() const { return turn_ == buckets_.size(); }
+  bool empty() const { return bucket_ == buckets_.size(); }
   engine_number number() const { return std::get<2>(*next_); }
-  /// Version that it holds.
-  std::uint64_t version() const { return buckets_[turn_]->first; }
+  /// Version that the current engine holds.
+  std::uint64_t version() const { return buckets_[bucket_]->first; }
   void pop();
 
  private:
-  void enter();
+  void enter_bucket();
 
-  /// Engines that no job can use, then the others; of each those that held the latest version
-  /// first.
-  std::vector<by_version::const_iterator> buckets_;
-  std::size_t turn_ = 0;
+  /// Buckets with versions too old for any job, then the others; both by descending version.
+  std::vector<version_buckets::const_iterator> buckets_;
+  std::size_t bucket_ = 0;
   std::set<rank>::const_iterator next_;
 };
 
-/// Counts for one model, over its ready engines.
+/// Totals over the ready engines of one model.
 struct model_counts {
   std::size_t engines = 0;
-  /// Requests that they take at once.
-  std::size_t places = 0;
-  /// Hold the newest version, or load it.
-  std::size_t fresh = 0;
-  /// Hold a version that a job may use, or load one.
+  /// Requests that the engines can execute concurrently.
+  std::size_t total_slots = 0;
+  /// Engines that hold the newest version, or are loading it.
+  std::size_t up_to_date = 0;
+  /// Engines that hold a version that jobs may use, or are loading one.
   std::size_t usable = 0;
 };
 
 class engine_index {
  public:
   engine_index() = default;
-  // Engines point to their models.
+  // Not copyable: engines hold pointers into `models_`.
   engine_index(engine_index const&) = delete;
   engine_index& operator=(engine_index const&) = delete;
   engine_index(engine_index&&) = default;
   engine_index& operator=(engine_index&&) = default;
 
-  /// Files an engine anew.
-  void put(engine_standing const& one);
+  /// Adds an engine, or updates its position in the index.
+  void put(engine_summary const& summary);
   void remove(std::string const& id);
-  /// Versions of a model within one of the newest count as recent. Nothing is recent before the
-  /// third version.
+  /// Sets the newest version of a model. It and the version before count as recent; before version
+  /// 3, none does.
   void set_newest(std::string const& model, std::uint64_t newest);
 
-  model_counts count(std::string const& model, std::uint64_t newest, std::uint64_t slack) const;
+  model_counts count(std::string const& model, std::uint64_t newest,
+                     std::uint64_t allowed_lag) const;
   load_candidates candidates(std::string const& model, std::uint64_t newest,
-                             std::uint64_t slack) const;
-  /// Times that an engine was filed, so far.
-  std::uint64_t filings() const { return filings_; }
+                             std::uint64_t allowed_lag) const;
+  /// Total number of insertions of an engine into the index.
+  std::uint64_t index_updates() const { return index_updates_; }
   std::string const& id_of(engine_number number) const { return *ids_[number]; }
-  /// Engines with room for a run, the emptiest first, for each version from `least` to `most`.
-  /// @param visit returns true if the rest of this version's engines need not be seen.
-  void visit_emptiest(std::string const& model, std::uint64_t least, std::uint64_t most,
-                      std::function<bool(std::string const&)> const& visit) const;
+  /// Visits the engines with a free slot that hold a version from `min_version` to `max_version`:
+  /// version by version, in the order of their utilization.
+  /// @param visit returns true to skip the remaining engines of the current version.
+  void visit_least_loaded(std::string const& model, std::uint64_t min_version,
+                          std::uint64_t max_version,
+                          std::function<bool(std::string const&)> const& visit) const;
 
  private:
-  /// Requests under way for each slot, engine.
-  using fullness = std::pair<float, engine_number>;
+  /// Requests in flight per slot, engine.
+  using utilization_rank = std::pair<float, engine_number>;
 
   struct model_engines {
     std::size_t engines = 0;
-    std::size_t places = 0;
-    std::map<std::uint64_t, std::set<engine_number>> holders;
-    /// Engines that load, by the version that they hold and the one that they load.
+    std::size_t total_slots = 0;
+    std::map<std::uint64_t, std::set<engine_number>> by_version;
+    /// Number of engines that load this model, by the version they hold and the one being loaded.
     std::map<std::pair<std::uint64_t, std::uint64_t>, std::size_t> loading;
-    load_candidates::by_version candidates;
-    std::map<std::uint64_t, std::set<fullness>> with_room;
+    load_candidates::version_buckets candidates;
+    /// Engines with a free slot that aren't loading this model.
+    std::map<std::uint64_t, std::set<utilization_rank>> available;
     std::uint64_t newest = 0;
   };
-  struct held_version {
+  struct model_version {
     model_engines* model = nullptr;
     std::uint64_t version = 0;
   };
-  struct filed_engine {
+  struct indexed_engine {
     engine_number number = 0;
     bool ready = false;
     std::uint32_t slots = 1;
     std::uint32_t in_flight = 0;
-    std::uint32_t homes = 0;
-    std::vector<held_version> versions;
-    /// Null: none is under way.
-    model_engines* loads = nullptr;
+    /// Number of models held in a recent version.
+    std::uint32_t recent_models = 0;
+    std::vector<model_version> versions;
+    /// Null if no load is in progress.
+    model_engines* loading_model = nullptr;
     std::uint64_t loaded_version = 0;
 
     bool has_room() const { return in_flight < slots; }
-    fullness full() const;
+    utilization_rank utilization() const;
   };
 
-  static std::uint32_t count_homes(filed_engine const& one);
+  static std::uint32_t count_recent_models(indexed_engine const& engine);
   engine_number number_of(std::string const& id);
-  void file(filed_engine const& one);
-  void unfile(filed_engine const& one);
+  void add_to_buckets(indexed_engine const& engine);
+  void remove_from_buckets(indexed_engine const& engine);
 
-  std::map<std::string, filed_engine> engines_;
-  /// Null for numbers that are free.
+  std::map<std::string, indexed_engine> engines_;
+  /// Identifiers by engine number; null for free numbers.
   std::vector<std::string const*> ids_;
   std::vector<engine_number> free_numbers_;
   std::map<std::string, model_engines> models_;
-  std::uint64_t filings_ = 0;
+  std::uint64_t index_updates_ = 0;
 };
 
 }  // namespace frostline::engines
--- a/src/engines/sse_parser.h
+++ b/src/engines/sse_parser.h
@@ -1,4 +1,4 @@
-/// @file Server-sent events out of a byte stream, and the engine's events out of those. Pure.
+/// @file Incremental parser for server-sent events and for the token events they carry. Pure.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace frostline::engines {
 
-/// Splits a stream into the payloads of its `data:` lines.
+/// Extracts the payloads of `data:` events from a byte stream.
 class sse_parser {
  public:
-  /// Takes a piece in. @return payloads of the events it completes.
+  /// Consumes a piece of the stream. @return payloads of the events that it completes.
   std::vector<std::string> feed(std::string_view piece);
-  /// Bytes of an event that is not complete.
+  /// Number of buffered bytes of an incomplete event.
   std::size_t pending() const { return pending_.size(); }
 
  private:
   std::string pending_;
 };
 
-/// A run of tokens as the engine reports it.
+/// Tokens that the engine reports in one event.
 struct token_event {
   std::string text;
   std::uint64_t version = 0;
@@ -29,7 +29,8 @@
   bool finished = false;
 };
 
-/// Reads one event's payload. @return nothing if it is malformed or names no version.
+/// Parses the payload of one event. @return nothing if it is malformed or has tokens without a
+/// version.
 std::optional<token_event> parse_token_event(std::string const& payload);
 
 }  // namespace frostline::engines
--- a/src/engines/version_planner.cc
+++ b/src/engines/version_planner.cc
@@ -8,113 +8,119 @@
 namespace frostline::engines {
 namespace {
 
-/// Engines beyond its share that a model is served by, so that one model's long step finds room.
+/// Engines beyond a model's share, to absorb load peaks.
 constexpr std::size_t k_extra_engines = 1;
-constexpr std::size_t k_fewest_engines = 2;
-/// Places that a model gets for each sample of a job. Two jobs may be open, runs are quicker on
-/// engines that are not full, and a slow engine's runs need a quicker one to move to. Measured with
-/// 3,000 engines (docs/design/changed-workload.md): 3 make steps late, beyond 12 loads serve
-/// nobody.
-constexpr std::size_t k_places_a_sample = 12;
+constexpr std::size_t k_min_engines = 2;
+/// Engine slots provided per sample of a job. More than one, since two jobs may be open, runs are
+/// faster on engines that are not full, and runs on slow engines need faster ones to move to
+/// (docs/design/changed-workload.md).
+constexpr std::size_t k_slots_per_sample = 12;
 
-/// Where one model stands, and what it still lacks.
+/// Planned and actual engine counts of one model.
 struct model_plan {
   std::string model;
-  model_need need;
+  model_demand demand;
+  /// Engines that should hold a version that jobs may use.
   std::size_t wanted = 0;
-  std::size_t fresh_wanted = 0;
-  /// Engines that hold the newest version, or load it.
-  std::size_t fresh = 0;
-  /// Engines that a job may use.
+  /// Engines that should hold the newest version.
+  std::size_t up_to_date_wanted = 0;
+  /// Engines that hold the newest version, or are loading it.
+  std::size_t up_to_date = 0;
+  /// Engines that hold a version that jobs may use, or are loading one.
   std::size_t usable = 0;
-  load_candidates others;
+  load_candidates candidates;
 
-  bool lacks_usable() const { return usable < wanted; }
-  bool lacks_any() const { return !others.empty() && (lacks_usable() || fresh < fresh_wanted); }
+  bool needs_usable() const { return usable < wanted; }
+  bool needs_load() const {
+    return !candidates.empty() && (needs_usable() || up_to_date < up_to_date_wanted);
+  }
 };
 
-/// Engines that a model should be served by: its share of the demand and some more.
-std::size_t wanted_engines(std::size_t engines, model_need const& need, double total_demand,
+/// Returns the number of engines that should serve a model: its share of the total job size, plus a
+/// reserve.
+std::size_t wanted_engines(std::size_t engines, model_demand const& demand, double total_size,
                            std::size_t models) {
   if (models <= 1) return engines;
-  bool const known = need.demand > 0 && total_demand > 0;
-  double const share = known ? need.demand / total_demand : 1.0 / static_cast<double>(models);
-  auto const part = static_cast<std::size_t>(std::ceil(static_cast<double>(engines) * share));
-  return std::min(engines, std::max(part, k_fewest_engines) + k_extra_engines);
+  bool const known = demand.job_size > 0 && total_size > 0;
+  double const share = known ? demand.job_size / total_size : 1.0 / static_cast<double>(models);
+  auto const proportional =
+      static_cast<std::size_t>(std::ceil(static_cast<double>(engines) * share));
+  return std::min(engines, std::max(proportional, k_min_engines) + k_extra_engines);
 }
 
-/// Engines whose places are enough for a model's samples.
-std::size_t enough_engines(std::size_t engines, std::size_t places, std::size_t samples) {
-  if (samples == 0 || places == 0) return engines;
-  std::size_t const needed = samples * k_places_a_sample * engines;
-  return std::max((needed + places - 1) / places, k_fewest_engines);
+/// Returns the number of engines with enough slots for a model's samples.
+std::size_t sufficient_engines(std::size_t engines, std::size_t total_slots, std::size_t samples) {
+  if (samples == 0 || total_slots == 0) return engines;
+  std::size_t const needed = samples * k_slots_per_sample * engines;
+  return std::max((needed + total_slots - 1) / total_slots, k_min_engines);
 }
 
-model_plan plan_model(engine_board const& board, model_needs const& needs, std::string const& model,
-                      model_need const& need, double total_demand) {
-  model_counts const counts = board.index().count(model, need.newest, need.slack);
-  std::size_t const enough = enough_engines(counts.engines, counts.places, need.samples);
-  std::size_t const share = wanted_engines(counts.engines, need, total_demand, needs.size());
+model_plan plan_model(engine_board const& board, model_demands const& demands,
+                      std::string const& model, model_demand const& demand, double total_size) {
+  model_counts const counts = board.index().count(model, demand.newest, demand.allowed_lag);
+  std::size_t const enough = sufficient_engines(counts.engines, counts.total_slots, demand.samples);
+  std::size_t const share = wanted_engines(counts.engines, demand, total_size, demands.size());
   std::size_t const wanted = std::min(share, enough);
   std::size_t const half = std::max<std::size_t>(wanted / 2, 1);
   return {model,
-          need,
+          demand,
           wanted,
-          need.slack == 0 ? wanted : half,
-          counts.fresh,
+          demand.allowed_lag == 0 ? wanted : half,
+          counts.up_to_date,
           counts.usable,
-          board.index().candidates(model, need.newest, need.slack)};
+          board.index().candidates(model, demand.newest, demand.allowed_lag)};
 }
 
-/// The model whose next load is the most pressing; null if none lacks anything.
-model_plan* most_pressing(std::vector<model_plan>& plans) {
+/// Returns the plan whose next load is the most urgent; null if no model needs a load.
+model_plan* most_urgent(std::vector<model_plan>& plans) {
   model_plan* best = nullptr;
-  auto const rank = [](model_plan const& one) {
-    double const part = static_cast<double>(one.usable) / static_cast<double>(one.wanted);
-    return std::tuple(one.usable > 0, !one.lacks_usable(), part, one.fresh, one.model);
+  auto const rank = [](model_plan const& plan) {
+    double const fraction = static_cast<double>(plan.usable) / static_cast<double>(plan.wanted);
+    return std::tuple(plan.usable > 0, !plan.needs_usable(), fraction, plan.up_to_date, plan.model);
   };
-  for (model_plan& one : plans) {
-    if (!one.lacks_any()) continue;
-    if (best == nullptr || rank(one) < rank(*best)) best = &one;
+  for (model_plan& plan : plans) {
+    if (!plan.needs_load()) continue;
+    if (best == nullptr || rank(plan) < rank(*best)) best = &plan;
   }
   return best;
 }
 
-/// Engines of this board that may load at once.
-std::size_t most_loading(engine_board const& board, planner_options const& options) {
-  double const part =
-      std::ceil(static_cast<double>(board.engines().size()) * options.parallel_part);
-  return std::max<std::size_t>(options.parallel_loads, static_cast<std::size_t>(part));
+/// Returns how many engines of the pool may load concurrently.
+std::size_t max_concurrent_loads(engine_board const& board, planner_options const& options) {
+  double const fraction =
+      std::ceil(static_cast<double>(board.engines().size()) * options.parallel_fraction);
+  return std::max<std::size_t>(options.parallel_loads, static_cast<std::size_t>(fraction));
 }
 
 }  // namespace
 
-std::vector<planned_order> plan_orders(engine_board& board, model_needs const& needs,
+std::vector<planned_order> plan_orders(engine_board& board, model_demands const& demands,
                                        planner_options const& options) {
-  double total_demand = 0;
-  for (auto const& [model, need] : needs) {
-    total_demand += need.demand;
-    board.set_newest(model, need.newest);
+  double total_size = 0;
+  for (auto const& [model, demand] : demands) {
+    total_size += demand.job_size;
+    board.set_newest(model, demand.newest);
   }
   std::vector<model_plan> plans;
-  for (auto const& [model, need] : needs) {
-    if (need.newest > 0) plans.push_back(plan_model(board, needs, model, need, total_demand));
+  for (auto const& [model, demand] : demands) {
+    if (demand.newest > 0) plans.push_back(plan_model(board, demands, model, demand, total_size));
   }
   std::size_t const loading = board.loading().size();
-  std::size_t const limit = most_loading(board, options);
+  std::size_t const limit = max_concurrent_loads(board, options);
   std::vector<planned_order> orders;
-  std::set<std::string> taken;
+  std::set<std::string> assigned;
   while (loading + orders.size() < limit) {
-    model_plan* const plan = most_pressing(plans);
+    model_plan* const plan = most_urgent(plans);
     if (plan == nullptr) break;
-    std::string const& id = board.index().id_of(plan->others.number());
-    bool const useless = plan->others.version() + plan->need.slack < plan->need.newest;
-    plan->others.pop();
-    // An engine that a more pressing model takes is there for this one later.
-    if (!taken.insert(id).second) continue;
-    ++plan->fresh;
-    if (useless) ++plan->usable;
-    orders.push_back({id, plan->model, plan->need.newest});
+    std::string const& id = board.index().id_of(plan->candidates.number());
+    bool const too_old =
+        plan->candidates.version() + plan->demand.allowed_lag < plan->demand.newest;
+    plan->candidates.pop();
+    // Skips an engine that was assigned to a more urgent model in this pass.
+    if (!assigned.insert(id).second) continue;
+    ++plan->up_to_date;
+    if (too_old) ++plan->usable;
+    orders.push_back({id, plan->model, plan->demand.newest});
   }
   return orders;
 }
--- a/src/engines/version_planner.h
+++ b/src/engines/version_planner.h
@@ -1,8 +1,8 @@
-/// @file Decides which engine loads which version of the weights next. Pure.
+/// @file Plans which engine loads which weight version next. Pure.
 ///
-/// A job may use the version before the newest, so engines take turns: at each new version those
-/// that hold the one before it go on serving while the others load. Each engine then loads every
-/// second version and no version stops all of them.
+/// Jobs may use the version before the newest, so engines alternate: for each new version, the
+/// engines that hold the previous one keep serving while the others load. Each engine loads every
+/// second version, and the pool is never fully occupied by loading.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 namespace frostline::engines {
 
 struct planner_options {
-  /// Engines that may always load at once.
+  /// Number of engines that may load concurrently in a pool of any size.
   std::uint32_t parallel_loads = 2;
-  /// Part of a pool's engines that may load at once without slowing each other.
-  double parallel_part = 0.2;
-  /// An order that shows no effect for that long is looked into.
-  milliseconds order_patience{2500};
+  /// Fraction of a pool's engines that may load concurrently, if that is more.
+  double parallel_fraction = 0.2;
+  /// Time without effect after which an order's state is queried from the engine.
+  milliseconds order_timeout{2500};
 };
 
 struct planned_order {
@@ -29,24 +29,25 @@
   std::uint64_t version = 0;
 };
 
-/// What is wanted of one model.
-struct model_need {
-  /// Newest version that was named.
+/// Demand for one model.
+struct model_demand {
+  /// Newest published version.
   std::uint64_t newest = 0;
-  /// How many versions behind the newest a job may use: learned from the jobs.
-  std::uint64_t slack = 1;
-  /// Size of its jobs, in any unit that all models share; 0: not known.
-  double demand = 0;
-  /// Samples of its latest job; 0: not known.
+  /// Number of versions behind the newest that jobs may use, derived from recent jobs.
+  std::uint64_t allowed_lag = 1;
+  /// Size of the latest job, in a unit common to all models; 0 if unknown.
+  double job_size = 0;
+  /// Number of samples of the latest job; 0 if unknown.
   std::size_t samples = 0;
 };
 
-using model_needs = std::map<std::string, model_need>;
+using model_demands = std::map<std::string, model_demand>;
 
-/// @return orders to give now, the most pressing first: models that no engine can serve, then those
-/// that have the fewest engines for what they want, then what the next version will need.
-/// @param board learns of the newest versions.
-std::vector<planned_order> plan_orders(engine_board& board, model_needs const& needs,
+/// Returns the orders to send now, the most urgent first: for models that no engine can serve, then
+/// for those with the lowest share of the engines that they want, then in preparation for the next
+/// version.
+/// @param board its newest versions are updated from `demands`.
+std::vector<planned_order> plan_orders(engine_board& board, model_demands const& demands,
                                        planner_options const& options);
 
 }  // namespace frostline::engines
--- a/src/engines/weight_orders.h
+++ b/src/engines/weight_orders.h
@@ -1,5 +1,5 @@
-/// @file Gives the orders that bring a pool's engines to the versions in use. Only the pool's owner
-/// runs it; each order is checked against the lease right before it is sent.
+/// @file Sends the load orders that bring a pool's engines to the published versions. Only the
+/// pool's owner runs it; its lease is checked immediately before each order is sent.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,15 @@
 
 namespace frostline::engines {
 
-/// What the orders depend on besides the board.
+/// Sender and authorization of the orders.
 struct order_authority {
-  /// Machine that orders.
+  /// Machine that sends the orders.
   std::string holder;
-  /// Whether an order may be sent now.
+  /// Returns true if this node may send an order now.
   std::function<bool()> may_order;
+  /// Returns the fencing token of the current lease.
   std::function<std::uint64_t()> fence;
-  /// How runs on an engine are treated while it loads.
+  /// Returns how an engine must treat its runs while it loads.
   std::function<load_mode(engine_entry const&)> mode_for;
 };
 
@@ -30,44 +31,49 @@
   weight_orders(asio::io_context& context, engine_board& board, engine_control& control,
                 order_authority authority);
 
+  /// Publishes a version of a model. Ignored unless it is newer than the newest one.
   void name_version(std::string const& model, std::uint64_t version);
-  /// A job of this model was accepted that allows versions from `min_version` on.
-  /// @param size of the job, in tokens.
-  /// @param samples of the job.
+  /// Records the demand of an accepted job that allows versions from `min_version` on.
+  /// @param size size of the job in tokens.
+  /// @param samples number of samples of the job.
   void note_job(std::string const& model, std::uint64_t min_version, std::uint64_t size,
                 std::size_t samples);
+  /// Newest published version; 0 if there is none.
   std::uint64_t newest(std::string const& model) const;
-  /// Plans and sends what is due. Called whenever something changed, and now and then.
+  /// Plans and sends the orders that are due. Called after each change and periodically.
   void advance(time_point now);
-  /// Forgets what earlier orders may have left: a new term of ownership begins.
+  /// Discards the state of earlier orders at the start of a new term of ownership.
   void begin_term();
+  /// Total number of orders sent.
   std::uint64_t sent() const { return sent_; }
 
  private:
-  /// What is known of the orders that one life of an engine has taken.
+  /// Number of orders accepted by one incarnation of an engine, as far as known.
   struct engine_sequence {
     bool known = false;
     std::uint64_t value = 0;
-    /// The life that has taken them.
+    /// Start time of that incarnation.
     std::uint64_t born = 0;
   };
 
-  awaitable<void> give(directory::server engine, planned_order order);
-  awaitable<bool> learn_sequence(directory::server engine);
-  /// Sees which orders have been carried out, and looks into those that take long.
-  void settle(time_point now);
-  void settle_one(engine_entry const& one, time_point now);
-  awaitable<void> look_into(directory::server engine);
-  /// What is known of an engine's count; nothing is, if it has started again since.
+  awaitable<void> send_order(directory::server engine, planned_order order);
+  /// Queries the engine's sequence if it is unknown. @return false if it stays unknown.
+  awaitable<bool> fetch_sequence(directory::server engine);
+  /// Ends the orders whose version is loaded, and queries the engines of overdue ones.
+  void check_pending_loads(time_point now);
+  void check_pending_load(engine_entry const& entry, time_point now);
+  /// Ends an overdue order unless the engine reports that it is still loading.
+  awaitable<void> resolve_overdue_order(directory::server engine);
+  /// Returns the sequence of an engine, which is unknown after a restart.
   engine_sequence& sequence_of(directory::server const& engine);
-  void take_report(directory::server const& engine, engine_report const& report);
+  void apply_report(directory::server const& engine, engine_report const& report);
 
   asio::io_context& context_;
   engine_board& board_;
   engine_control& control_;
   order_authority authority_;
   planner_options options_;
-  model_needs needs_;
+  model_demands demands_;
   std::map<std::string, engine_sequence> sequences_;
   std::uint64_t sent_ = 0;
 };
--- a/tests/unit/engines/sse_parser_test.cc
+++ b/tests/unit/engines/sse_parser_test.cc
@@ -13,7 +13,7 @@
       R"({"choices":[{"text":"ab ","finish_reason":null}],"frostline":{"version":3,"tokens":2}})";
 };
 
-TEST(sse_parser_test, events_may_be_cut_anywhere) {
+TEST(sse_parser_test, events_may_be_split_anywhere) {
   std::string const stream = "data: " + event + "\n\ndata: [DONE]\n\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
     sse_parser pieces;
@@ -30,7 +30,7 @@
   CHECK(parser.pending() > 0);
 }
 
-TEST(sse_parser_test, event_carries_its_version) {
+TEST(sse_parser_test, event_has_version_and_tokens) {
   auto const parsed = parse_token_event(event);
   LONGS_EQUAL(3, parsed->version);
   LONGS_EQUAL(2, parsed->tokens);
@@ -46,7 +46,7 @@
   CHECK_FALSE(parse_token_event("{"));
 }
 
-TEST(sse_parser_test, spans_of_one_version_join_and_the_oldest_counts) {
+TEST(sse_parser_test, spans_of_one_version_are_merged_and_the_oldest_sets_the_bound) {
   span_list spans;
   append_span(spans, 4, 2);
   append_span(spans, 4, 3);
@@ -59,7 +59,7 @@
   CHECK_FALSE(is_within_bound(spans, 6, 1));
 }
 
-TEST(sse_parser_test, load_report_is_read_and_garbage_refused) {
+TEST(sse_parser_test, load_report_is_parsed_and_invalid_json_rejected) {
   auto const report = parse_load_report(
       R"({"incarnation":9,"slots":4,"leaving":true,"models":[{"model":"m","version":7},3]})");
   LONGS_EQUAL(9, report->incarnation);
--- a/tests/unit/engines/version_planner_test.cc
+++ b/tests/unit/engines/version_planner_test.cc
@@ -1,4 +1,4 @@
-/// @file Which engine loads which version next, and where runs are placed.
+/// @file Planning of weight loads, and choice of engines for runs.
 
 #include "engines/version_planner.h"
 
@@ -11,21 +11,21 @@
 
 directory::server make_engine(std::string const& id,
                               std::map<std::string, std::uint64_t> const& models) {
-  directory::server one;
-  one.id = id;
-  one.service = "pool";
-  one.slots = 2;
-  one.models = models;
-  return one;
+  directory::server engine;
+  engine.id = id;
+  engine.service = "pool";
+  engine.slots = 2;
+  engine.models = models;
+  return engine;
 }
 
-run_requirements need_of(std::uint64_t min_version, std::string const& group = "g") {
-  run_requirements need;
-  need.service = "pool";
-  need.model = "m";
-  need.min_version = min_version;
-  need.group = group;
-  return need;
+run_requirements requirements_for(std::uint64_t min_version, std::string const& group = "g") {
+  run_requirements requirements;
+  requirements.service = "pool";
+  requirements.model = "m";
+  requirements.min_version = min_version;
+  requirements.group = group;
+  return requirements;
 }
 
 }  // namespace
@@ -33,7 +33,7 @@
 TEST_GROUP(version_planner_test) {
   std::vector<directory::server> servers;
   engine_board board;
-  model_needs needs;
+  model_demands demands;
   planner_options options;
   time_point now{std::chrono::hours(1)};
 
@@ -47,15 +47,15 @@
 
   void refresh() {
     std::vector<directory::server const*> all;
-    for (auto const& one : servers) all.push_back(&one);
+    for (auto const& server : servers) all.push_back(&server);
     board.update(all);
   }
 
-  /// Carries planned orders out until none is left. @return how many there were.
+  /// Applies planned orders until none is left. @return the number of orders.
   std::size_t load_all() {
     std::size_t count = 0;
     while (true) {
-      auto const orders = plan_orders(board, needs, options);
+      auto const orders = plan_orders(board, demands, options);
       if (orders.empty()) return count;
       count += orders.size();
       for (auto const& order : orders) board.set_version(order.engine, order.model, order.version);
@@ -64,17 +64,17 @@
 
   std::size_t holding(std::string const& model, std::uint64_t version) {
     std::size_t count = 0;
-    for (auto const& [id, one] : board.engines()) {
-      if (one.versions.at(model) >= version) ++count;
+    for (auto const& [id, engine] : board.engines()) {
+      if (engine.versions.at(model) >= version) ++count;
     }
     return count;
   }
 };
 
-TEST(version_planner_test, half_of_the_engines_load_each_version_and_none_falls_behind) {
+TEST(version_planner_test, each_version_is_loaded_by_half_of_the_engines_in_turn) {
   set_engines(8, {{"m", 1}});
   for (std::uint64_t version = 2; version < 9; ++version) {
-    needs["m"].newest = version;
+    demands["m"].newest = version;
     CHECK(load_all() <= 4);
     LONGS_EQUAL(4, holding("m", version));
     LONGS_EQUAL(8, holding("m", version - 1));
@@ -83,33 +83,33 @@
 
 TEST(version_planner_test, all_load_when_jobs_allow_the_newest_version_only) {
   set_engines(4, {{"m", 1}});
-  needs["m"].newest = 2;
-  needs["m"].slack = 0;
+  demands["m"].newest = 2;
+  demands["m"].allowed_lag = 0;
   LONGS_EQUAL(4, load_all());
 }
 
-TEST(version_planner_test, no_more_load_at_once_than_may) {
+TEST(version_planner_test, concurrent_loads_are_limited) {
   set_engines(8, {{"m", 1}});
-  needs["m"].newest = 3;
-  LONGS_EQUAL(2, plan_orders(board, needs, options).size());
+  demands["m"].newest = 3;
+  LONGS_EQUAL(2, plan_orders(board, demands, options).size());
   board.begin_load("e0", "m", 3, now);
-  LONGS_EQUAL(1, plan_orders(board, needs, options).size());
+  LONGS_EQUAL(1, plan_orders(board, demands, options).size());
 }
 
-TEST(version_planner_test, model_that_no_engine_can_serve_goes_first) {
+TEST(version_planner_test, model_without_usable_engine_is_loaded_first) {
   set_engines(6, {{"a", 4}, {"b", 1}, {"c", 4}});
-  needs["a"].newest = 5;
-  needs["b"].newest = 5;
-  needs["c"].newest = 5;
-  auto const orders = plan_orders(board, needs, options);
+  demands["a"].newest = 5;
+  demands["b"].newest = 5;
+  demands["c"].newest = 5;
+  auto const orders = plan_orders(board, demands, options);
   LONGS_EQUAL(2, orders.size());
   STRCMP_EQUAL("b", orders[0].model.c_str());
 }
 
-TEST(version_planner_test, three_models_that_move_on_together_all_stay_served) {
+TEST(version_planner_test, models_published_together_all_keep_usable_engines) {
   set_engines(9, {{"a", 1}, {"b", 1}, {"c", 1}});
   for (std::uint64_t version = 2; version < 12; ++version) {
-    for (char const* model : {"a", "b", "c"}) needs[model].newest = version;
+    for (char const* model : {"a", "b", "c"}) demands[model].newest = version;
     load_all();
     for (char const* model : {"a", "b", "c"}) CHECK(holding(model, version - 1) >= 3);
   }
@@ -117,21 +117,21 @@
 
 TEST(version_planner_test, larger_jobs_get_more_engines) {
   set_engines(9, {{"large", 1}, {"small", 1}});
-  needs["large"].demand = 8000;
-  needs["small"].demand = 1000;
-  for (char const* model : {"large", "small"}) needs[model].newest = 3;
+  demands["large"].job_size = 8000;
+  demands["small"].job_size = 1000;
+  for (char const* model : {"large", "small"}) demands[model].newest = 3;
   load_all();
   CHECK(holding("large", 2) > holding("small", 2));
   CHECK(holding("small", 2) >= 2);
 }
 
-TEST(version_planner_test, no_more_engines_load_than_samples_can_use) {
+TEST(version_planner_test, engines_that_load_are_limited_by_sample_count) {
   set_engines(40, {{"m", 1}});
-  needs["m"] = {2, 0};
-  needs["m"].samples = 4;
-  // Twelve places for each sample, two on each engine.
+  demands["m"] = {2, 0};
+  demands["m"].samples = 4;
+  // Twelve slots per sample, two per engine.
   LONGS_EQUAL(24, load_all());
-  needs["m"].samples = 1000;
+  demands["m"].samples = 1000;
   LONGS_EQUAL(16, load_all());
 }
 
@@ -139,8 +139,8 @@
   set_engines(2, {{"m", 1}});
   servers[0].state = directory::server_state::draining;
   refresh();
-  needs["m"].newest = 3;
-  for (auto const& order : plan_orders(board, needs, options)) {
+  demands["m"].newest = 3;
+  for (auto const& order : plan_orders(board, demands, options)) {
     STRCMP_EQUAL("e1", order.engine.c_str());
   }
 }
@@ -149,83 +149,84 @@
   set_engines(2, {{"m", 1}});
   servers[1].models["m"] = 2;
   refresh();
-  STRCMP_EQUAL("e1", board.choose(need_of(2), now)->server.id.c_str());
+  STRCMP_EQUAL("e1", board.choose(requirements_for(2), now)->server.id.c_str());
   board.note_started("e1", 10, "g");
   board.note_started("e1", 10, "g");
-  POINTERS_EQUAL(nullptr, board.choose(need_of(2), now));
-  CHECK(board.choose(need_of(1), now) != nullptr);
+  POINTERS_EQUAL(nullptr, board.choose(requirements_for(2), now));
+  CHECK(board.choose(requirements_for(1), now) != nullptr);
 }
 
-TEST(version_planner_test, load_keeps_out_runs_of_its_own_model_only) {
+TEST(version_planner_test, load_blocks_only_runs_of_its_own_model) {
   set_engines(1, {{"m", 1}, {"other", 1}});
   board.begin_load("e0", "other", 2, now);
-  CHECK(board.choose(need_of(1), now) != nullptr);
+  CHECK(board.choose(requirements_for(1), now) != nullptr);
   board.begin_load("e0", "m", 2, now);
-  POINTERS_EQUAL(nullptr, board.choose(need_of(1), now));
+  POINTERS_EQUAL(nullptr, board.choose(requirements_for(1), now));
 }
 
-TEST(version_planner_test, group_stays_together_while_its_engine_is_not_much_busier) {
+TEST(version_planner_test, group_stays_on_one_engine_unless_it_is_much_busier) {
   set_engines(2, {{"m", 1}});
   board.note_started("e1", 10, "family");
-  STRCMP_EQUAL("e0", board.choose(need_of(1, "stranger"), now)->server.id.c_str());
+  STRCMP_EQUAL("e0", board.choose(requirements_for(1, "stranger"), now)->server.id.c_str());
   servers[0].slots = 8;
   servers[1].slots = 8;
   refresh();
-  STRCMP_EQUAL("e1", board.choose(need_of(1, "family"), now)->server.id.c_str());
+  STRCMP_EQUAL("e1", board.choose(requirements_for(1, "family"), now)->server.id.c_str());
 }
 
-TEST(version_planner_test, run_leaves_an_engine_that_became_slow) {
+TEST(version_planner_test, run_moves_away_from_a_slow_engine) {
   set_engines(3, {{"m", 1}});
   for (char const* id : {"e0", "e1"}) board.note_event_gap(id, milliseconds(30), now);
   board.note_event_gap("e2", milliseconds(120), now);
-  CHECK(board.gain_of_move(*board.find("e2"), need_of(1), 10, now) > milliseconds(0));
-  LONGS_EQUAL(0, board.gain_of_move(*board.find("e0"), need_of(1), 10, now).count());
+  CHECK(board.gain_of_move(*board.find("e2"), requirements_for(1), 10, now) > milliseconds(0));
+  LONGS_EQUAL(0, board.gain_of_move(*board.find("e0"), requirements_for(1), 10, now).count());
 }
 
-TEST(version_planner_test, only_a_run_that_has_come_far_leaves_an_engine_that_is_a_little_slower) {
+TEST(version_planner_test, only_a_long_run_moves_away_from_a_slightly_slower_engine) {
   set_engines(3, {{"m", 1}});
   for (char const* id : {"e0", "e1"}) board.note_event_gap(id, milliseconds(40), now);
   board.note_event_gap("e2", milliseconds(52), now);
-  LONGS_EQUAL(0, board.gain_of_move(*board.find("e2"), need_of(1), 5, now).count());
-  LONGS_EQUAL(600, board.gain_of_move(*board.find("e2"), need_of(1), 50, now).count());
+  LONGS_EQUAL(0, board.gain_of_move(*board.find("e2"), requirements_for(1), 5, now).count());
+  LONGS_EQUAL(600, board.gain_of_move(*board.find("e2"), requirements_for(1), 50, now).count());
 }
 
 TEST(version_planner_test, no_run_moves_to_an_engine_whose_speed_is_not_known) {
   set_engines(2, {{"m", 1}});
   board.note_event_gap("e0", milliseconds(30), now - milliseconds(20'000));
   board.note_event_gap("e1", milliseconds(120), now);
-  LONGS_EQUAL(0, board.gain_of_move(*board.find("e1"), need_of(1), 50, now).count());
+  LONGS_EQUAL(0, board.gain_of_move(*board.find("e1"), requirements_for(1), 50, now).count());
 }
 
-TEST(version_planner_test, failing_engine_is_left_alone_for_longer_each_time) {
+TEST(version_planner_test, repeated_failures_block_an_engine_for_longer) {
   set_engines(1, {{"m", 1}});
   board.note_failure("e0", now);
-  POINTERS_EQUAL(nullptr, board.choose(need_of(1), now));
-  CHECK(board.choose(need_of(1), now + milliseconds(350)) != nullptr);
+  POINTERS_EQUAL(nullptr, board.choose(requirements_for(1), now));
+  CHECK(board.choose(requirements_for(1), now + milliseconds(350)) != nullptr);
   board.note_failure("e0", now);
-  POINTERS_EQUAL(nullptr, board.choose(need_of(1), now + milliseconds(350)));
+  POINTERS_EQUAL(nullptr, board.choose(requirements_for(1), now + milliseconds(350)));
 }
 
-TEST(version_planner_test, a_fifth_of_a_large_pool_loads_at_once) {
+TEST(version_planner_test, a_fifth_of_a_large_pool_loads_concurrently) {
   set_engines(35, {{"m", 1}});
-  needs["m"].newest = 2;
-  LONGS_EQUAL(7, plan_orders(board, needs, options).size());
+  demands["m"].newest = 2;
+  LONGS_EQUAL(7, plan_orders(board, demands, options).size());
   set_engines(8, {{"m", 1}});
-  LONGS_EQUAL(2, plan_orders(board, needs, options).size());
+  LONGS_EQUAL(2, plan_orders(board, demands, options).size());
 }
 
-TEST(version_planner_test, choice_of_an_engine_costs_the_same_in_a_pool_ten_times_as_large) {
-  // Hot path over a large pool: 300 runs are under way, all other engines are idle.
+TEST(version_planner_test, cost_of_a_choice_does_not_depend_on_pool_size) {
+  // 300 runs are in flight; all other engines are idle.
   auto const examined_by_one_choice = [this](std::size_t engines) {
     board = engine_board();
     set_engines(engines, {{"m", 1}, {"other", 1}});
     for (int run = 0; run < 300; ++run) {
-      std::string const id = board.choose(need_of(1, "g" + std::to_string(run)), now)->server.id;
+      std::string const id =
+          board.choose(requirements_for(1, "g" + std::to_string(run)), now)->server.id;
       board.note_started(id, 10, "g" + std::to_string(run));
       board.note_event_gap(id, milliseconds(20), now);
     }
     std::uint64_t const before = board.examined();
-    CHECK(board.choose(need_of(1, "another"), now) != nullptr);
+    CHECK(board.choose(requirements_for(1, "another"), now) != nullptr);
     return board.examined() - before;
   };
   std::uint64_t const small = examined_by_one_choice(700);
@@ -233,47 +234,47 @@
   CHECK(2 * large <= 3 * small);
 }
 
-TEST(version_planner_test, new_version_and_its_orders_cost_the_same_in_a_pool_ten_times_as_large) {
-  auto const filings = [this](std::size_t engines) {
+TEST(version_planner_test, cost_of_planning_does_not_depend_on_pool_size) {
+  auto const index_updates = [this](std::size_t engines) {
     board = engine_board();
-    needs.clear();
+    demands.clear();
     set_engines(engines, {{"m", 1}, {"other", 1}});
-    std::uint64_t const before = board.index().filings();
+    std::uint64_t const before = board.index().index_updates();
     for (std::uint64_t version = 2; version < 8; ++version) {
-      needs["m"].newest = version;
-      needs["m"].samples = 4;
+      demands["m"].newest = version;
+      demands["m"].samples = 4;
       load_all();
     }
-    return board.index().filings() - before;
+    return board.index().index_updates() - before;
   };
-  std::uint64_t const small = filings(700);
-  std::uint64_t const large = filings(7777);
+  std::uint64_t const small = index_updates(700);
+  std::uint64_t const large = index_updates(7777);
   CHECK(2 * large <= 3 * small);
 }
 
-TEST(version_planner_test, change_of_one_server_files_one_engine) {
+TEST(version_planner_test, change_of_one_server_updates_one_index_entry) {
   set_engines(7777, {{"m", 1}});
-  std::uint64_t const before = board.index().filings();
+  std::uint64_t const before = board.index().index_updates();
   servers[7].models["m"] = 2;
   board.put(servers[7]);
-  LONGS_EQUAL(before + 1, board.index().filings());
+  LONGS_EQUAL(before + 1, board.index().index_updates());
   LONGS_EQUAL(2, board.find("e7")->version_of("m"));
 }
 
-TEST(version_planner_test, run_moves_on_when_the_emptiest_engines_are_blocked_or_excluded) {
+TEST(version_planner_test, blocked_and_excluded_engines_are_skipped) {
   set_engines(3, {{"m", 1}});
   board.block("e0", now + milliseconds(100));
-  run_requirements need = need_of(1);
-  need.excluded.insert("e1");
-  STRCMP_EQUAL("e2", board.choose(need, now)->server.id.c_str());
+  run_requirements requirements = requirements_for(1);
+  requirements.excluded.insert("e1");
+  STRCMP_EQUAL("e2", board.choose(requirements, now)->server.id.c_str());
 }
 
-TEST(version_planner_test, engine_that_starts_again_is_not_taken_to_load) {
+TEST(version_planner_test, restart_ends_the_load_of_an_engine) {
   set_engines(2, {{"m", 1}});
   board.begin_load("e0", "m", 2, now);
   LONGS_EQUAL(1, board.loading().size());
   servers[0].born = 9;
   refresh();
   LONGS_EQUAL(0, board.loading().size());
-  CHECK(board.choose(need_of(1), now) != nullptr);
+  CHECK(board.choose(requirements_for(1), now) != nullptr);
 }
