--- a/src/directory/server.h
+++ b/src/directory/server.h
@@ -1,4 +1,4 @@
-/// @file A server behind the gateway, as service discovery tells of it.
+/// @file Service discovery record of a server behind the gateway.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,33 @@
 
 namespace frostline::directory {
 
-/// ready -> draining -> gone; ready -> gone. A incarnation of a server never comes back from
-/// draining.
+/// ready -> draining -> removed; ready -> removed. An incarnation never leaves the draining state.
 enum class server_state { ready, draining };
 
-/// One incarnation of a server. It may start again under its identifier, and then knows nothing of
-/// before.
+/// One incarnation of a server: the lifetime of one process. A server may restart under the same
+/// identifier, and then keeps no state.
 struct server {
   std::string id;
-  /// When this incarnation began, Unix milliseconds by its own clock; 0: not told. A later
-  /// incarnation has a higher number.
+  /// Start time of this incarnation in Unix milliseconds, by the server's own clock; 0 if not
+  /// reported. Later incarnations have higher values.
   std::uint64_t born = 0;
   std::string service;
   endpoint address;
   std::string zone;
   std::uint32_t slots = 1;
   server_state state = server_state::ready;
-  /// Model to the version of its weights; empty for application servers.
+  /// Weight version by model; empty for application servers.
   std::map<std::string, std::uint64_t> models;
-  /// Orders taken in this incarnation, as far as discovery knows.
+  /// Number of load orders accepted by this incarnation, as of the record.
   std::uint64_t sequence = 0;
 
-  /// Tells lives apart, also those under one identifier.
+  /// Key that identifies this incarnation, also among those with the same identifier.
   std::string incarnation() const { return born == 0 ? id : id + "/" + std::to_string(born); }
   bool operator==(server const&) const = default;
 };
 
-/// Equal for servers that callers can treat alike: versions of weights and counts of orders, which
-/// matter to the owner of a pool alone, are left out.
-std::uint64_t digest_for_callers(server const& one);
+/// Digest of the fields that callers depend on. Weight versions and order counts, which only matter
+/// to the owner of a pool, are left out.
+std::uint64_t digest_for_callers(server const& record);
 
 }  // namespace frostline::directory
--- a/src/directory/server_directory.cc
+++ b/src/directory/server_directory.cc
@@ -11,46 +11,47 @@
 
 constexpr std::string_view k_part = "directory";
 
-void log_change(server const& one, std::string_view sentence) {
+void log_change(server const& record, std::string_view sentence) {
   log_line(log_level::info, k_part, sentence,
-           {{"server", one.id},
-            {"service", one.service},
-            {"address", one.address.to_string()},
-            {"born", one.born}});
+           {{"server", record.id},
+            {"service", record.service},
+            {"address", record.address.to_string()},
+            {"born", record.born}});
 }
 
 }  // namespace
 
-std::uint64_t digest_for_callers(server const& one) {
+std::uint64_t digest_for_callers(server const& record) {
   std::string text;
   auto const add = [&text](std::string_view part) { text.append(part).push_back('\0'); };
-  add(one.id);
-  add(std::to_string(one.born));
-  add(one.service);
-  add(one.address.to_string());
-  add(one.zone);
-  add(std::to_string(one.slots));
-  add(one.state == server_state::ready ? "ready" : "draining");
-  add(one.models.empty() ? "" : "models");
+  add(record.id);
+  add(std::to_string(record.born));
+  add(record.service);
+  add(record.address.to_string());
+  add(record.zone);
+  add(std::to_string(record.slots));
+  add(record.state == server_state::ready ? "ready" : "draining");
+  add(record.models.empty() ? "" : "models");
   return hash_bytes(text);
 }
 
-bool server_directory::take(server one) {
-  auto const [place, fresh] = servers_.try_emplace(one.id);
-  server& known = place->second;
-  if (!fresh && one.born < known.born) {
-    log_line(log_level::info, k_part, "Record of a former life is passed over.",
-             {{"server", one.id}, {"born", one.born}, {"known", known.born}});
+bool server_directory::apply_record(server record) {
+  auto const [position, inserted] = servers_.try_emplace(record.id);
+  server& known = position->second;
+  if (!inserted && record.born < known.born) {
+    log_line(log_level::info, k_part, "Stale server record ignored.",
+             {{"server", record.id}, {"born", record.born}, {"known", known.born}});
     return false;
   }
-  bool const new_life = !fresh && one.born > known.born;
-  bool const drains = one.state == server_state::draining && known.state == server_state::ready;
-  if (!fresh) index_.remove(known);
-  known = std::move(one);
+  bool const restarted = !inserted && record.born > known.born;
+  bool const started_draining =
+      record.state == server_state::draining && known.state == server_state::ready;
+  if (!inserted) index_.remove(known);
+  known = std::move(record);
   index_.add(known);
-  if (new_life) log_change(known, "Server started again.");
-  if (drains) log_change(known, "Server drains.");
-  if (new_life && new_life_) new_life_(known);
+  if (restarted) log_change(known, "Server started again.");
+  if (started_draining) log_change(known, "Server drains.");
+  if (restarted && restart_listener_) restart_listener_(known);
   return true;
 }
 
@@ -63,36 +64,36 @@
 
 void server_directory::replace_all(std::vector<server> servers) {
   std::set<std::string> listed;
-  for (server const& one : servers) listed.insert(one.id);
+  for (server const& record : servers) listed.insert(record.id);
   std::vector<std::string> ids(listed.begin(), listed.end());
-  std::vector<std::string> gone;
-  for (auto const& [id, one] : servers_) {
-    if (!listed.contains(id)) gone.push_back(id);
+  std::vector<std::string> removed;
+  for (auto const& [id, record] : servers_) {
+    if (!listed.contains(id)) removed.push_back(id);
   }
-  for (std::string const& id : gone) {
+  for (std::string const& id : removed) {
     log_change(servers_.at(id), "Server gone.");
     erase(id);
   }
-  ids.insert(ids.end(), gone.begin(), gone.end());
-  for (server& one : servers) take(std::move(one));
+  ids.insert(ids.end(), removed.begin(), removed.end());
+  for (server& record : servers) apply_record(std::move(record));
   loaded_ = true;
   log_size();
   notify(ids);
 }
 
-void server_directory::put(server one) {
-  std::string const id = one.id;
-  bool const fresh = !servers_.contains(id);
-  if (!take(std::move(one))) return;
-  if (fresh) log_change(servers_.at(id), "Server appeared.");
+void server_directory::put(server record) {
+  std::string const id = record.id;
+  bool const inserted = !servers_.contains(id);
+  if (!apply_record(std::move(record))) return;
+  if (inserted) log_change(servers_.at(id), "Server appeared.");
   notify({id});
 }
 
 void server_directory::put_all(std::vector<server> servers) {
   std::vector<std::string> ids;
-  for (server& one : servers) {
-    ids.push_back(one.id);
-    take(std::move(one));
+  for (server& record : servers) {
+    ids.push_back(record.id);
+    apply_record(std::move(record));
   }
   log_size();
   notify(ids);
@@ -121,19 +122,19 @@
   return found == servers_.end() ? nullptr : &found->second;
 }
 
-bool server_directory::is_superseded(server const& former) const {
-  server const* const same = find(former.id);
-  if (same != nullptr && same->born > former.born) return true;
-  return index_.has_other_at_address(former);
+bool server_directory::is_superseded(server const& previous) const {
+  server const* const same = find(previous.id);
+  if (same != nullptr && same->born > previous.born) return true;
+  return index_.has_other_at_address(previous);
 }
 
-bool server_directory::is_leaving(server const& one) const {
-  server const* const known = find(one.id);
-  return known != nullptr && known->born == one.born && known->state == server_state::draining;
+bool server_directory::is_leaving(server const& record) const {
+  server const* const known = find(record.id);
+  return known != nullptr && known->born == record.born && known->state == server_state::draining;
 }
 
 void server_directory::notify(std::vector<std::string> const& ids) const {
-  for (auto const& one : listeners_) one(ids);
+  for (auto const& listener : listeners_) listener(ids);
 }
 
 }  // namespace frostline::directory
--- a/src/directory/server_directory.h
+++ b/src/directory/server_directory.h
@@ -1,4 +1,4 @@
-/// @file The servers behind the gateway as service discovery tells them. Pure.
+/// @file Directory of the servers behind the gateway, from service discovery records. Pure.
 #pragma once
 
 #include <cstdint>
@@ -14,53 +14,53 @@
 
 class server_directory {
  public:
-  /// @param ids of the servers that may have changed, come or gone.
+  /// @param ids servers that may have been added, changed or removed.
   using change_listener = std::function<void(std::vector<std::string> const& ids)>;
 
-  /// Records of a former incarnation of a server that is known are passed over: they were written
-  /// late.
+  /// Replaces the contents. Stale records, of an incarnation before the known one, are ignored.
   void replace_all(std::vector<server> servers);
-  void put(server one);
-  /// Listeners run once for all of them.
+  /// Adds or updates one server, unless the record is stale.
+  void put(server record);
+  /// Adds or updates several servers. Listeners run once.
   void put_all(std::vector<server> servers);
   void remove(std::string const& id);
-  /// Servers that this node does not follow any more, whether they still serve or not.
+  /// Removes servers that this node no longer watches; they may still be serving.
   void forget(std::vector<std::string> const& ids);
 
   bool is_loaded() const { return loaded_; }
   server const* find(std::string const& id) const;
-  /// Whether a later incarnation is known under this one's identifier, or at its address in its
-  /// service: then this one is over.
-  bool is_superseded(server const& former) const;
-  /// Whether this incarnation has said that it is about to end.
-  bool is_leaving(server const& one) const;
-  /// Servers of a service that may get new work.
+  /// Returns true if a later incarnation is known under the same identifier, or another server of
+  /// the same service at the same address: then `previous` has ended.
+  bool is_superseded(server const& previous) const;
+  /// Returns true if this incarnation is draining.
+  bool is_leaving(server const& record) const;
+  /// Servers of a service that accept new requests, sorted by identifier.
   std::vector<server const*> const& ready_servers(std::string const& service) const {
     return index_.ready(service);
   }
-  /// Requests that they take at once.
+  /// Requests that the ready servers of a service can execute concurrently.
   std::uint64_t ready_slots(std::string const& service) const {
     return index_.ready_slots(service);
   }
   std::map<std::string, server> const& servers() const { return servers_; }
-  void on_change(change_listener one) { listeners_.push_back(std::move(one)); }
-  /// Runs when a server is known to have started again under its identifier.
+  void on_change(change_listener listener) { listeners_.push_back(std::move(listener)); }
+  /// Sets the listener for restarts of servers under their previous identifier.
   void on_server_restart(std::function<void(server const&)> listener) {
-    new_life_ = std::move(listener);
+    restart_listener_ = std::move(listener);
   }
 
  private:
   void notify(std::vector<std::string> const& ids) const;
   void log_size() const;
   void erase(std::string const& id);
-  /// Takes one record over. @return false if it is of a former incarnation.
-  bool take(server one);
+  /// Stores one record. @return false if it is stale.
+  bool apply_record(server record);
 
   std::map<std::string, server> servers_;
   service_index index_;
   bool loaded_ = false;
   std::vector<change_listener> listeners_;
-  std::function<void(server const&)> new_life_;
+  std::function<void(server const&)> restart_listener_;
 };
 
 }  // namespace frostline::directory
--- a/src/directory/service_index.cc
+++ b/src/directory/service_index.cc
@@ -5,36 +5,36 @@
 namespace frostline::directory {
 namespace {
 
-bool is_before(server const* left, std::string const& id) { return left->id < id; }
+bool id_is_less(server const* left, std::string const& id) { return left->id < id; }
 
 }  // namespace
 
-void service_index::add(server const& one) {
-  service_servers& service = services_[one.service];
-  service.at_address[one.address.to_string()].insert(one.id);
-  if (one.state != server_state::ready) return;
-  auto const place =
-      std::lower_bound(service.ready.begin(), service.ready.end(), one.id, is_before);
-  service.ready.insert(place, &one);
-  service.slots += one.slots;
+void service_index::add(server const& record) {
+  service_servers& service = services_[record.service];
+  service.ids_by_address[record.address.to_string()].insert(record.id);
+  if (record.state != server_state::ready) return;
+  auto const position =
+      std::lower_bound(service.ready.begin(), service.ready.end(), record.id, id_is_less);
+  service.ready.insert(position, &record);
+  service.slots += record.slots;
 }
 
-void service_index::remove(server const& one) {
-  auto const found = services_.find(one.service);
+void service_index::remove(server const& record) {
+  auto const found = services_.find(record.service);
   if (found == services_.end()) return;
   service_servers& service = found->second;
-  auto const address = service.at_address.find(one.address.to_string());
-  if (address != service.at_address.end()) {
-    address->second.erase(one.id);
-    if (address->second.empty()) service.at_address.erase(address);
+  auto const address = service.ids_by_address.find(record.address.to_string());
+  if (address != service.ids_by_address.end()) {
+    address->second.erase(record.id);
+    if (address->second.empty()) service.ids_by_address.erase(address);
   }
-  auto const place =
-      std::lower_bound(service.ready.begin(), service.ready.end(), one.id, is_before);
-  if (place != service.ready.end() && *place == &one) {
-    service.ready.erase(place);
-    service.slots -= one.slots;
+  auto const position =
+      std::lower_bound(service.ready.begin(), service.ready.end(), record.id, id_is_less);
+  if (position != service.ready.end() && *position == &record) {
+    service.ready.erase(position);
+    service.slots -= record.slots;
   }
-  if (service.at_address.empty()) services_.erase(found);
+  if (service.ids_by_address.empty()) services_.erase(found);
 }
 
 std::vector<server const*> const& service_index::ready(std::string const& service) const {
@@ -48,13 +48,13 @@
   return found == services_.end() ? 0 : found->second.slots;
 }
 
-bool service_index::has_other_at_address(server const& one) const {
-  auto const service = services_.find(one.service);
+bool service_index::has_other_at_address(server const& record) const {
+  auto const service = services_.find(record.service);
   if (service == services_.end()) return false;
-  auto const found = service->second.at_address.find(one.address.to_string());
-  if (found == service->second.at_address.end()) return false;
+  auto const found = service->second.ids_by_address.find(record.address.to_string());
+  if (found == service->second.ids_by_address.end()) return false;
   std::set<std::string> const& ids = found->second;
-  return ids.size() > 1 || !ids.contains(one.id);
+  return ids.size() > 1 || !ids.contains(record.id);
 }
 
 }  // namespace frostline::directory
--- a/src/directory/service_index.h
+++ b/src/directory/service_index.h
@@ -1,5 +1,5 @@
-/// @file Servers by service and by address, kept up as single servers change, so that no question
-/// looks through all servers. Pure.
+/// @file Index of servers by service and by address. It is updated incrementally, so that queries
+/// do not scan all servers. Pure.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +15,23 @@
 
 class service_index {
  public:
-  /// @param one stays where it is, unchanged, until it is removed.
-  void add(server const& one);
-  void remove(server const& one);
+  /// @param record referenced by the index; must outlive its entry and not change while indexed.
+  void add(server const& record);
+  void remove(server const& record);
 
-  /// Servers of a service that may get new work, by identifier.
+  /// Servers of a service that accept new requests, sorted by identifier.
   std::vector<server const*> const& ready(std::string const& service) const;
-  /// Requests that the ready servers of a service take at once.
+  /// Requests that the ready servers of a service can execute concurrently.
   std::uint64_t ready_slots(std::string const& service) const;
-  /// Whether a server of the same service with another identifier has this one's address.
-  bool has_other_at_address(server const& one) const;
+  /// Returns true if another server of the same service has the same address.
+  bool has_other_at_address(server const& record) const;
 
  private:
   struct service_servers {
     std::vector<server const*> ready;
     std::uint64_t slots = 0;
     /// Identifiers by address.
-    std::map<std::string, std::set<std::string>> at_address;
+    std::map<std::string, std::set<std::string>> ids_by_address;
   };
 
   std::map<std::string, service_servers> services_;
