--- a/src/routing/admission.cc
+++ b/src/routing/admission.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double k_smoothing = 0.1;
-constexpr milliseconds k_shortest_retry{50};
-constexpr milliseconds k_longest_retry{5000};
+constexpr milliseconds k_min_retry_after{50};
+constexpr milliseconds k_max_retry_after{5000};
 
 }  // namespace
 
@@ -21,8 +21,8 @@
   ++queued_;
   while (true) {
     while (abandoned_.erase(serving_ticket_) > 0) ++serving_ticket_;
-    bool const free = in_flight_ < concurrent_;
-    if (free && ticket == serving_ticket_) break;
+    bool const has_capacity = in_flight_ < concurrent_;
+    if (has_capacity && ticket == serving_ticket_) break;
     if (boot_clock::now() >= deadline) {
       --queued_;
       abandoned_.insert(ticket);
@@ -34,7 +34,7 @@
   ++serving_ticket_;
   --queued_;
   ++in_flight_;
-  // The next in line may be able to enter, too.
+  // The next request in the queue may be admissible, too.
   freed_.notify_all();
   co_return admission_result::admitted;
 }
@@ -52,7 +52,7 @@
 
 milliseconds admission_gate::retry_after() const {
   auto const wait = static_cast<std::int64_t>(leave_interval_ms_ * (queued_ + 1));
-  return std::clamp(milliseconds(wait), k_shortest_retry, k_longest_retry);
+  return std::clamp(milliseconds(wait), k_min_retry_after, k_max_retry_after);
 }
 
 }  // namespace frostline::routing
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,5 +1,5 @@
-/// @file Bounds the requests of a route that are in flight and that wait; each waits at most until
-/// its own deadline, and what can't be admitted is refused at once.
+/// @file Admission control of a route: limits the requests in flight and in the queue. Requests
+/// wait in the queue up to their deadline; requests beyond the queue limit are refused immediately.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
     queued_limit_ = queued;
   }
 
-  /// Admits in order of arrival. Each admission is ended by `leave`.
+  /// Admits requests in order of arrival. Each admitted request must call `leave`.
   awaitable<admission_result> enter(time_point deadline);
   void leave();
 
   std::uint32_t in_flight() const { return in_flight_; }
   std::uint32_t queued() const { return queued_; }
-  /// When a refused caller should come back: the time that the queue takes to empty.
+  /// Retry delay for a refused caller: the estimated time until the queue is drained.
   milliseconds retry_after() const;
 
  private:
@@ -37,9 +37,10 @@
   std::uint32_t queued_ = 0;
   std::uint64_t next_ticket_ = 0;
   std::uint64_t serving_ticket_ = 0;
+  /// Tickets of requests that left the queue at their deadline.
   std::set<std::uint64_t> abandoned_;
   time_point last_leave_ = time_point::min();
-  /// Smoothed time between two requests that leave.
+  /// Moving average of the time between two completed requests.
   double leave_interval_ms_ = 1;
 };
 
--- a/src/routing/back_end_picker.cc
+++ b/src/routing/back_end_picker.cc
@@ -7,7 +7,7 @@
 
 constexpr std::uint32_t k_failures_to_eject = 3;
 constexpr milliseconds k_first_ejection{500};
-constexpr std::uint32_t k_longest_ejection_doublings = 5;
+constexpr std::uint32_t k_max_ejection_doublings = 5;
 
 }  // namespace
 
@@ -16,9 +16,9 @@
                                                  time_point now) {
   std::vector<std::string> healthy;
   std::vector<std::string> ejected;
-  for (std::string const& one : candidates) {
-    if (tried.contains(one)) continue;
-    (is_ejected(one, now) ? ejected : healthy).push_back(one);
+  for (std::string const& candidate : candidates) {
+    if (tried.contains(candidate)) continue;
+    (is_ejected(candidate, now) ? ejected : healthy).push_back(candidate);
   }
   std::vector<std::string> const& pool = healthy.empty() ? ejected : healthy;
   if (pool.empty()) return std::nullopt;
@@ -39,7 +39,7 @@
   if (server.outstanding > 0) --server.outstanding;
   if (++server.failures_in_row < k_failures_to_eject) return;
   server.failures_in_row = 0;
-  auto const doublings = std::min(server.ejections++, k_longest_ejection_doublings);
+  auto const doublings = std::min(server.ejections++, k_max_ejection_doublings);
   server.ejected_until = now + k_first_ejection * (1 << doublings);
 }
 
--- a/src/routing/back_end_picker.h
+++ b/src/routing/back_end_picker.h
@@ -1,5 +1,5 @@
-/// @file Chooses an application server: the less busy of two random ones, without those that leave
-/// or have failed lately. Pure.
+/// @file Chooses an application server: the less loaded of two random candidates, with ejection of
+/// servers that fail repeatedly. Pure.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,15 @@
  public:
   explicit back_end_picker(std::uint64_t seed) : random_(seed) {}
 
-  /// @param candidates servers that may be used; @param tried those this request has been sent to.
-  /// @return nothing if none is left. Ejected servers are used only if there are no others.
+  /// @param candidates servers that may be used.
+  /// @param tried servers that the request was already sent to.
+  /// @return nothing if no candidate is left. Ejected servers are used only if all are ejected.
   std::optional<std::string> pick(std::vector<std::string> const& candidates,
                                   std::set<std::string> const& tried, time_point now);
 
   void note_sent(std::string const& back_end) { ++servers_[back_end].outstanding; }
   void note_answer(std::string const& back_end);
-  /// A failure of the server itself; several in a row eject it for a while.
+  /// Records a failure of the server; consecutive failures eject it temporarily.
   void note_failure(std::string const& back_end, time_point now);
   bool is_ejected(std::string const& back_end, time_point now) const;
 
--- a/src/routing/claim_store.cc
+++ b/src/routing/claim_store.cc
@@ -6,7 +6,7 @@
 namespace frostline::routing {
 namespace {
 
-/// Claims of one such interval share a lease.
+/// Claims made within one interval share a lease.
 constexpr milliseconds k_lease_interval{60'000};
 constexpr milliseconds k_lease_retry{500};
 
@@ -16,8 +16,8 @@
 
 awaitable<void> claim_store::lease_loop() {
   while (true) {
-    // The old lease is left to lapse with the claim_store that it holds.
-    auto granted = co_await service_.grant_lease(k_claim_memory_most);
+    // The previous lease expires together with its claims.
+    auto granted = co_await kv_.grant_lease(k_max_claim_ttl);
     if (granted) {
       lease_ = granted.value();
       lease_granted_ = boot_clock::now();
@@ -28,26 +28,26 @@
 
 awaitable<claim_result> claim_store::claim(std::string route, std::string identifier) {
   auto const age = boot_clock::now() - lease_granted_;
-  bool const usable = lease_ != 0 && age < k_claim_memory_most - k_claim_memory_least;
+  bool const usable = lease_ != 0 && age < k_max_claim_ttl - k_min_claim_ttl;
   if (!usable) co_return claim_result::unreadable;
   std::string const key = config::key_of(config::k_claims, route + "/" + base64_encode(identifier));
   std::string const token = make_unique_token();
   kv::transaction change;
   change.compares.push_back({key, 0});
   change.on_success.push_back({kv::operation_kind::put, key, token, lease_});
-  auto answer = co_await service_.apply(std::move(change));
-  if (answer) co_return answer.value().succeeded ? claim_result::ours : claim_result::taken;
+  auto answer = co_await kv_.apply(std::move(change));
+  if (answer) co_return answer.value().succeeded ? claim_result::acquired : claim_result::taken;
   if (answer.error() != kv::errc::outcome_unknown) co_return claim_result::unreadable;
   co_return co_await read_back(key, token);
 }
 
 awaitable<claim_result> claim_store::read_back(std::string key, std::string token) {
-  auto read = co_await service_.range(std::move(key));
+  auto read = co_await kv_.range(std::move(key));
   if (!read) co_return claim_result::unreadable;
-  // Absent: the lost transaction may still take effect, so it can't be sent under this claim.
+  // The key is absent, but the transaction may still take effect, so the request can't be sent.
   if (read.value().entries.empty()) co_return claim_result::unreadable;
-  bool const ours = read.value().entries.front().value == token;
-  co_return ours ? claim_result::ours : claim_result::taken;
+  bool const acquired = read.value().entries.front().value == token;
+  co_return acquired ? claim_result::acquired : claim_result::taken;
 }
 
 }  // namespace frostline::routing
--- a/src/routing/claim_store.h
+++ b/src/routing/claim_store.h
@@ -1,5 +1,5 @@
-/// @file Claims of request identifiers in the key-value service: whoever creates the key may send
-/// the request; everyone else must not. Claims are bound to leases and so forgotten in time.
+/// @file Claims of request identifiers in the key-value service, for at-most-once delivery: only
+/// the node that creates the key may send the request. Claims expire with their lease.
 #pragma once
 
 #include <string>
@@ -9,33 +9,35 @@
 
 namespace frostline::routing {
 
-/// Shortest and longest time for which a claim is remembered.
-inline constexpr seconds k_claim_memory_least{840};
-inline constexpr seconds k_claim_memory_most{900};
+/// Bounds of a claim's lifetime, which depends on the age of the lease that it shares.
+inline constexpr seconds k_min_claim_ttl{840};
+inline constexpr seconds k_max_claim_ttl{900};
 
 enum class claim_result {
-  /// This request holds the identifier.
-  ours,
-  /// Another request holds it, and may have been sent.
+  /// This request owns the identifier and may be sent.
+  acquired,
+  /// Another request owns the identifier and may have been sent.
   taken,
-  /// It can't be known now; nothing may be sent.
+  /// The owner can't be determined; the request must not be sent.
   unreadable,
 };
 
 class claim_store {
  public:
-  claim_store(asio::io_context& context, kv::client& service)
-      : context_(context), service_(service) {}
+  claim_store(asio::io_context& context, kv::client& kv_client)
+      : context_(context), kv_(kv_client) {}
 
   void start();
   awaitable<claim_result> claim(std::string route, std::string identifier);
 
  private:
+  /// Replaces the lease for new claims periodically.
   awaitable<void> lease_loop();
+  /// Determines the owner after a transaction with an unknown outcome.
   awaitable<claim_result> read_back(std::string key, std::string token);
 
   asio::io_context& context_;
-  kv::client& service_;
+  kv::client& kv_;
   kv::lease_id lease_ = 0;
   time_point lease_granted_ = time_point::min();
 };
--- a/src/routing/health_watch.cc
+++ b/src/routing/health_watch.cc
@@ -21,7 +21,7 @@
   std::sort(nodes.begin(), nodes.end(), [&](std::string const& left, std::string const& right) {
     return rendezvous_weight(server, left) > rendezvous_weight(server, right);
   });
-  if (nodes.size() > k_watchers) nodes.resize(k_watchers);
+  if (nodes.size() > k_watchers_per_server) nodes.resize(k_watchers_per_server);
   return nodes;
 }
 
@@ -32,20 +32,20 @@
     for (auto const& [id, machine] : machines_.machines()) {
       if (machine.kind != machines::machine_kind::app) continue;
       auto const watchers = watchers_of(id, members_);
-      bool const mine =
+      bool const is_watcher =
           std::find(watchers.begin(), watchers.end(), members_.self().id) != watchers.end();
-      if (mine) spawn(context_, ask(machine));
+      if (is_watcher) spawn(context_, check_health(machine));
     }
     co_await wait_for(k_interval);
   }
 }
 
-awaitable<void> health_watch::ask(machines::machine server) {
+awaitable<void> health_watch::check_health(machines::machine server) {
   auto answer = co_await transport_.exchange(server.address, http::make_get("/healthz"), k_timeout);
   if (!answer) co_return;
   auto const body = parse_json_object(answer.value().body());
-  bool const leaves = body && json_flag(*body, "leaving");
-  if (leaves) members_.spread_leaving(server.id, server.incarnation);
+  bool const leaving = body && json_flag(*body, "leaving");
+  if (leaving) members_.spread_leaving(server.id, server.incarnation);
 }
 
 }  // namespace frostline::routing
--- a/src/routing/health_watch.h
+++ b/src/routing/health_watch.h
@@ -1,5 +1,5 @@
-/// @file Asks application servers how they are. Each server is watched by a few nodes only; what
-/// they hear of its leaving goes to all others by gossip.
+/// @file Polls the health of application servers. Each server is watched by a few nodes, which
+/// spread the notice that it is leaving to all others by gossip.
 #pragma once
 
 #include <string>
@@ -12,10 +12,10 @@
 
 namespace frostline::routing {
 
-/// Nodes that watch one server.
-inline constexpr std::size_t k_watchers = 2;
+/// Number of nodes that watch each server.
+inline constexpr std::size_t k_watchers_per_server = 2;
 
-/// The nodes that watch `server`: those of the live ones with the highest rendezvous weight. Pure.
+/// Returns the nodes that watch `server`: the live nodes with the highest rendezvous weight. Pure.
 std::vector<std::string> watchers_of(std::string const& server, membership::table const& members);
 
 class health_watch {
@@ -28,7 +28,7 @@
 
  private:
   awaitable<void> watch_loop();
-  awaitable<void> ask(machines::machine server);
+  awaitable<void> check_health(machines::machine server);
 
   asio::io_context& context_;
   http::client& transport_;
--- a/src/routing/leaving_tracker.cc
+++ b/src/routing/leaving_tracker.cc
@@ -29,14 +29,14 @@
   if (found->second.incarnations.empty()) back_ends_.erase(found);
 }
 
-bool leaving_tracker::is_leaving(std::string const& back_end, std::uint64_t listed,
-                                 std::optional<std::uint64_t> own) const {
+bool leaving_tracker::is_leaving(std::string const& back_end, std::uint64_t listed_incarnation,
+                                 std::optional<std::uint64_t> reported_incarnation) const {
   auto const found = back_ends_.find(back_end);
   if (found == back_ends_.end()) return false;
   auto const& incarnations = found->second.incarnations;
   return std::any_of(incarnations.begin(), incarnations.end(), [&](auto const& mark) {
-    if (mark.first != leaving_source::back_end) return listed <= mark.second;
-    return own.has_value() && *own <= mark.second;
+    if (mark.first != leaving_source::back_end) return listed_incarnation <= mark.second;
+    return reported_incarnation.has_value() && *reported_incarnation <= mark.second;
   });
 }
 
--- a/src/routing/leaving_tracker.h
+++ b/src/routing/leaving_tracker.h
@@ -1,5 +1,5 @@
-/// @file Which back ends are leaving. Three sources may say so; any one suffices, and only a newer
-/// incarnation of the back end, or the operator's own word, undoes it. Pure.
+/// @file Tracks which back ends are leaving. Any of three sources may mark a back end; only a newer
+/// incarnation, or for operator drains an undo, clears the mark. Pure.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +22,22 @@
 
 class leaving_tracker {
  public:
-  /// The source says that this incarnation leaves. Saying so again changes nothing.
+  /// Marks this incarnation as leaving. Idempotent.
   void mark(std::string const& back_end, std::uint64_t incarnation, leaving_source source);
-  /// The operator takes the drain of this back end back.
+  /// Removes the operator's drain of this back end; marks of other sources remain.
   void undo_operator_drain(std::string const& back_end);
-  /// Whether new work must not be sent to a back end.
-  /// @param listed its incarnation in the machine list, by which the list and operators speak.
-  /// @param own the incarnation that it gives itself; absent leaves its own word out.
-  bool is_leaving(std::string const& back_end, std::uint64_t listed,
-                  std::optional<std::uint64_t> own) const;
+  /// Returns true if new requests must not be sent to a back end.
+  /// @param listed_incarnation its incarnation in the machine list, which the machine list and
+  /// operators refer to.
+  /// @param reported_incarnation the incarnation that the back end reports, in its own numbering;
+  /// if absent, the back end's own mark is ignored.
+  bool is_leaving(std::string const& back_end, std::uint64_t listed_incarnation,
+                  std::optional<std::uint64_t> reported_incarnation) const;
   std::vector<leaving_entry> entries() const;
 
  private:
   struct marks {
-    /// Highest incarnation that each source has called leaving; by source.
+    /// Highest incarnation that each source has marked as leaving.
     std::map<leaving_source, std::uint64_t> incarnations;
   };
   std::map<std::string, marks> back_ends_;
--- a/src/routing/metrics.cc
+++ b/src/routing/metrics.cc
@@ -33,8 +33,8 @@
   durations_.Add({{"route", route}}, duration_buckets()).Observe(in_seconds);
 }
 
-void metrics::count_problem(std::string const& route, rpc::reason why) {
-  problems_.Add({{"route", route}, {"reason", std::string(rpc::to_string(why))}}).Increment();
+void metrics::count_problem(std::string const& route, rpc::reason reason) {
+  problems_.Add({{"route", route}, {"reason", std::string(rpc::to_string(reason))}}).Increment();
 }
 
 void metrics::count_retry(std::string const& route) {
--- a/src/routing/metrics.h
+++ b/src/routing/metrics.h
@@ -1,4 +1,4 @@
-/// @file Metrics of the caller path, by named reason.
+/// @file Metrics of ordinary calls by route, with problems by reason.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -17,7 +17,7 @@
   explicit metrics(prometheus::Registry& registry);
 
   void count_answer(std::string const& route, milliseconds duration);
-  void count_problem(std::string const& route, rpc::reason why);
+  void count_problem(std::string const& route, rpc::reason reason);
   void count_retry(std::string const& route);
 
  private:
--- a/src/routing/proxy.cc
+++ b/src/routing/proxy.cc
@@ -11,7 +11,7 @@
 constexpr milliseconds k_claim_retry{1000};
 constexpr std::uint64_t k_picker_seed = 1;
 
-/// Headers that belong to one connection and are not passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 constexpr http::field k_hop_by_hop[] = {
     http::field::connection, http::field::keep_alive,        http::field::proxy_connection,
     http::field::te,         http::field::transfer_encoding, http::field::upgrade,
@@ -26,14 +26,14 @@
 }  // namespace
 
 proxy::proxy(asio::io_context& context, http::client& transport, config::store const& config,
-             machines::machine_list const& machines, claim_store& claim_registry, metrics& counters,
-             proxy_hooks hooks)
+             machines::machine_list const& machines, claim_store& claim_registry,
+             metrics& call_metrics, proxy_hooks hooks)
     : context_(context),
       transport_(transport),
       config_(config),
       machines_(machines),
       claims_(claim_registry),
-      metrics_(counters),
+      metrics_(call_metrics),
       hooks_(std::move(hooks)),
       picker_(k_picker_seed) {}
 
@@ -58,32 +58,32 @@
                              "no route for this path", rpc::run_state::not_run};
     co_return rpc::to_response(issue);
   }
-  call one;
-  one.message = std::move(message);
-  one.route = route->record;
-  one.deadline = start + milliseconds(route->record.deadline_ms);
-  strip_hop_by_hop(one.message);
-  auto answer = co_await serve(one, state_of(one.route));
+  call current;
+  current.message = std::move(message);
+  current.route = route->record;
+  current.deadline = start + milliseconds(route->record.deadline_ms);
+  strip_hop_by_hop(current.message);
+  auto answer = co_await serve(current, state_of(current.route));
   if (!answer) {
-    metrics_.count_problem(one.route.name, answer.error().why);
+    metrics_.count_problem(current.route.name, answer.error().why);
     co_return rpc::to_response(answer.error());
   }
   auto const duration = std::chrono::duration_cast<milliseconds>(boot_clock::now() - start);
-  metrics_.count_answer(one.route.name, duration);
+  metrics_.count_answer(current.route.name, duration);
   co_return std::move(answer.value());
 }
 
-awaitable<proxy::call_reply> proxy::serve(call& one, route_state& state) {
+awaitable<proxy::call_reply> proxy::serve(call& current, route_state& state) {
   if (hooks_.is_cut_off()) {
     co_return rpc::unavailable(rpc::reason::cut_off, "this node may be cut off", k_cut_off_retry);
   }
-  admission_result const admitted = co_await state.gate.enter(one.deadline);
+  admission_result const admitted = co_await state.gate.enter(current.deadline);
   if (admitted != admission_result::admitted) {
     bool const full = admitted == admission_result::queue_full;
     co_return rpc::unavailable(full ? rpc::reason::queue_full : rpc::reason::queue_deadline,
                                "route is at its limit", state.gate.retry_after());
   }
-  auto answer = co_await send_with_retries(one, state);
+  auto answer = co_await send_with_retries(current, state);
   state.gate.leave();
   co_return answer;
 }
@@ -98,13 +98,13 @@
   return usable;
 }
 
-awaitable<std::optional<rpc::problem>> proxy::claim_identifier(call const& one) {
-  std::string identifier(http::header(one.message, k_request_identifier));
-  if (one.route.repeatable || identifier.empty()) co_return std::nullopt;
-  std::string route = one.route.name;
+awaitable<std::optional<rpc::problem>> proxy::claim_identifier(call const& current) {
+  std::string identifier(http::header(current.message, k_request_identifier));
+  if (current.route.repeatable || identifier.empty()) co_return std::nullopt;
+  std::string route = current.route.name;
   claim_result const held = co_await claims_.claim(std::move(route), std::move(identifier));
   switch (held) {
-    case claim_result::ours:
+    case claim_result::acquired:
       co_return std::nullopt;
     case claim_result::taken:
       co_return rpc::problem{http::status::conflict, rpc::reason::claim_taken,
@@ -112,7 +112,7 @@
                              "known here",
                              rpc::run_state::unknown};
     case claim_result::unreadable:
-      // An earlier request with the identifier may have run, so this can't be called "not run".
+      // An earlier request with this identifier may have run, so the state is unknown.
       co_return rpc::problem{http::status::service_unavailable, rpc::reason::claim_unreadable,
                              "it can't be known now whether this identifier was used",
                              rpc::run_state::unknown, k_claim_retry};
@@ -120,56 +120,58 @@
   co_return std::nullopt;
 }
 
-awaitable<proxy::call_reply> proxy::send_with_retries(call& one, route_state& state) {
+awaitable<proxy::call_reply> proxy::send_with_retries(call& current, route_state& state) {
   bool claimed = false;
   state.budget.note_first_try();
-  rpc::problem last = rpc::unavailable(rpc::reason::no_back_end, "no back end takes this route",
-                                       k_no_back_end_retry);
-  while (time_left(one.deadline).count() > 0) {
-    auto const chosen = picker_.pick(usable_servers(one.route), one.tried, boot_clock::now());
+  rpc::problem last_problem = rpc::unavailable(rpc::reason::no_back_end,
+                                               "no back end takes this route", k_no_back_end_retry);
+  while (time_left(current.deadline).count() > 0) {
+    auto const chosen =
+        picker_.pick(usable_servers(current.route), current.tried, boot_clock::now());
     machines::machine const* found = chosen ? machines_.find(*chosen) : nullptr;
-    if (found == nullptr) co_return last;
+    if (found == nullptr) co_return last_problem;
     if (!claimed) {
-      auto refusal = co_await claim_identifier(one);
+      auto refusal = co_await claim_identifier(current);
       if (refusal) co_return std::move(*refusal);
       claimed = true;
-      // The claim took time: leaving and being cut off are looked at again before sending.
+      // The server or this node may have changed state during the claim: check again.
       continue;
     }
     if (hooks_.is_cut_off()) {
       co_return rpc::unavailable(rpc::reason::cut_off, "this node may be cut off", k_cut_off_retry);
     }
     machines::machine const server = *found;
-    one.tried.insert(server.id);
-    try_outcome outcome = co_await try_once(one, server);
+    current.tried.insert(server.id);
+    try_outcome outcome = co_await try_once(current, server);
     if (outcome.answer) co_return std::move(*outcome.answer);
-    last = outcome.issue;
-    if (!one.route.repeatable && !outcome.not_run) co_return last;
+    last_problem = outcome.issue;
+    if (!current.route.repeatable && !outcome.not_run) co_return last_problem;
     if (!state.budget.try_spend()) {
-      log_line(log_level::warning, k_part, "Retry budget is spent.", {{"route", one.route.name}});
-      co_return last;
+      log_line(log_level::warning, k_part, "Retry budget exhausted.",
+               {{"route", current.route.name}});
+      co_return last_problem;
     }
-    metrics_.count_retry(one.route.name);
+    metrics_.count_retry(current.route.name);
   }
-  if (one.tried.empty()) {
-    last = rpc::unavailable(rpc::reason::queue_deadline, "deadline passed before sending",
-                            state.gate.retry_after());
+  if (current.tried.empty()) {
+    last_problem = rpc::unavailable(rpc::reason::queue_deadline, "deadline passed before sending",
+                                    state.gate.retry_after());
   }
-  co_return last;
+  co_return last_problem;
 }
 
-awaitable<proxy::try_outcome> proxy::try_once(call& one, machines::machine const& server) {
+awaitable<proxy::try_outcome> proxy::try_once(call& current, machines::machine const& server) {
   auto const use =
-      one.route.repeatable ? http::connection_use::pooled : http::connection_use::fresh;
-  http::request copy = one.message;
+      current.route.repeatable ? http::connection_use::pooled : http::connection_use::fresh;
+  http::request copy = current.message;
   picker_.note_sent(server.id);
-  auto answer =
-      co_await transport_.exchange(server.address, std::move(copy), time_left(one.deadline), use);
-  if (!answer) co_return take_error(server, answer.error());
-  co_return take_answer(server, std::move(answer.value()));
+  auto answer = co_await transport_.exchange(server.address, std::move(copy),
+                                             time_left(current.deadline), use);
+  if (!answer) co_return process_error(server, answer.error());
+  co_return process_answer(server, std::move(answer.value()));
 }
 
-proxy::try_outcome proxy::take_answer(machines::machine const& server, http::response answer) {
+proxy::try_outcome proxy::process_answer(machines::machine const& server, http::response answer) {
   picker_.note_answer(server.id);
   if (!http::header(answer, k_leaving_header).empty()) hooks_.on_server_leaving(server);
   try_outcome outcome;
@@ -184,7 +186,7 @@
   return outcome;
 }
 
-proxy::try_outcome proxy::take_error(machines::machine const& server, std::error_code error) {
+proxy::try_outcome proxy::process_error(machines::machine const& server, std::error_code error) {
   picker_.note_failure(server.id, boot_clock::now());
   try_outcome outcome;
   std::string detail = "back end " + server.id + ": " + error.message();
@@ -194,10 +196,10 @@
         rpc::unavailable(rpc::reason::no_back_end, std::move(detail), k_no_back_end_retry);
     return outcome;
   }
-  bool const late = error == http::errc::deadline_exceeded;
+  bool const timed_out = error == http::errc::deadline_exceeded;
   outcome.issue = rpc::unknown_outcome(
-      late ? rpc::reason::back_end_deadline : rpc::reason::back_end_failed, std::move(detail));
-  if (late) outcome.issue.code = http::status::gateway_timeout;
+      timed_out ? rpc::reason::back_end_deadline : rpc::reason::back_end_failed, std::move(detail));
+  if (timed_out) outcome.issue.code = http::status::gateway_timeout;
   return outcome;
 }
 
--- a/src/routing/proxy.h
+++ b/src/routing/proxy.h
@@ -1,4 +1,5 @@
-/// @file Ordinary calls: from a caller's request to an application server's whole answer.
+/// @file Proxy for ordinary calls: forwards a request to an application server and returns its
+/// complete response.
 #pragma once
 
 #include <functional>
@@ -20,30 +21,30 @@
 
 namespace frostline::routing {
 
-/// Header with which a caller identifies a request that must not run twice.
+/// Request header that identifies a request which must run at most once.
 inline constexpr std::string_view k_request_identifier = "Idempotency-Key";
-/// A back end's documented signal that it refused and did not run the request.
+/// Response header of a back end that refused the request without running it.
 inline constexpr std::string_view k_not_run_header = "Request-Not-Run";
-/// A back end's documented signal that it is leaving.
+/// Response header of a back end that is leaving.
 inline constexpr std::string_view k_leaving_header = "Backend-Leaving";
 
-/// What the proxy asks of, and tells, the rest of the node.
+/// Callbacks from the proxy into the node.
 struct proxy_hooks {
-  /// Whether this node may be cut off and must send nothing new.
+  /// Returns true if this node may be partitioned and must not send new requests.
   std::function<bool()> is_cut_off;
-  /// Whether a server must get nothing new.
+  /// Returns true if a server must not get new requests.
   std::function<bool(machines::machine const&)> is_leaving;
-  /// A server has said in an answer that it leaves.
+  /// Called when a response announces that the server is leaving.
   std::function<void(machines::machine const&)> on_server_leaving;
 };
 
 class proxy {
  public:
   proxy(asio::io_context& context, http::client& transport, config::store const& config,
-        machines::machine_list const& machines, claim_store& claim_registry, metrics& counters,
+        machines::machine_list const& machines, claim_store& claim_registry, metrics& call_metrics,
         proxy_hooks hooks);
 
-  /// Answers one request; a problem is answered at once.
+  /// Handles one request. Failures are answered with a problem body.
   awaitable<http::response> handle(http::request message);
 
  private:
@@ -54,28 +55,28 @@
     admission_gate gate;
     retry_budget budget;
   };
-  /// One request on its way.
+  /// State of one request while it is handled.
   struct call {
     http::request message;
     rpc::RouteRecordT route;
     time_point deadline;
     std::set<std::string> tried;
   };
-  /// What one try came to.
+  /// Outcome of one attempt.
   struct try_outcome {
     std::optional<http::response> answer;
     rpc::problem issue;
-    /// Proved not to have run: may be tried elsewhere, whatever the route.
+    /// The back end did not run the request: it may be retried even if the route is not repeatable.
     bool not_run = false;
   };
 
-  awaitable<call_reply> serve(call& one, route_state& state);
-  awaitable<call_reply> send_with_retries(call& one, route_state& state);
-  awaitable<try_outcome> try_once(call& one, machines::machine const& server);
-  awaitable<std::optional<rpc::problem>> claim_identifier(call const& one);
+  awaitable<call_reply> serve(call& current, route_state& state);
+  awaitable<call_reply> send_with_retries(call& current, route_state& state);
+  awaitable<try_outcome> try_once(call& current, machines::machine const& server);
+  awaitable<std::optional<rpc::problem>> claim_identifier(call const& current);
   std::vector<std::string> usable_servers(rpc::RouteRecordT const& route) const;
-  try_outcome take_answer(machines::machine const& server, http::response answer);
-  try_outcome take_error(machines::machine const& server, std::error_code error);
+  try_outcome process_answer(machines::machine const& server, http::response answer);
+  try_outcome process_error(machines::machine const& server, std::error_code error);
   route_state& state_of(rpc::RouteRecordT const& route);
 
   asio::io_context& context_;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,5 +1,5 @@
-/// @file Limits retries to a share of first tries, so that retries can't keep an overload alive.
-/// Pure.
+/// @file Retry budget: limits retries to a fraction of first attempts, so that retries can't
+/// sustain an overload. Pure.
 #pragma once
 
 #include <algorithm>
@@ -9,27 +9,27 @@
 
 class retry_budget {
  public:
-  /// @param percent retries allowed for each hundred first tries.
+  /// @param percent retries allowed per hundred first attempts.
   void set_percent(std::uint32_t percent) { percent_ = percent; }
 
-  /// A request was tried for the first time.
-  void note_first_try() { balance_ = std::min(balance_ + percent_, k_most); }
+  /// Adds the credit of a first attempt.
+  void note_first_try() { balance_ = std::min(balance_ + percent_, k_max_balance); }
 
-  /// @return whether a retry may be made; it is then paid for.
+  /// Deducts the cost of a retry. @return false if the balance is too low.
   bool try_spend() {
-    if (balance_ < k_price) return false;
-    balance_ -= k_price;
+    if (balance_ < k_retry_cost) return false;
+    balance_ -= k_retry_cost;
     return true;
   }
 
  private:
-  static constexpr std::uint32_t k_price = 100;
-  /// At most ten retries are saved up.
-  static constexpr std::uint32_t k_most = 10 * k_price;
+  static constexpr std::uint32_t k_retry_cost = 100;
+  /// Limits a burst to ten retries.
+  static constexpr std::uint32_t k_max_balance = 10 * k_retry_cost;
 
   std::uint32_t percent_ = 10;
-  /// A new route may retry a few times at once.
-  std::uint32_t balance_ = 3 * k_price;
+  /// Allows a new route a few retries before it has earned credit.
+  std::uint32_t balance_ = 3 * k_retry_cost;
 };
 
 }  // namespace frostline::routing
--- a/tests/unit/routing/admission_test.cc
+++ b/tests/unit/routing/admission_test.cc
@@ -17,8 +17,8 @@
     results.emplace_back(name, outcome);
   }
 
-  void enter(int name, milliseconds patience) {
-    spawn(context, enter_and_note(name, boot_clock::now() + patience));
+  void enter(int name, milliseconds timeout) {
+    spawn(context, enter_and_note(name, boot_clock::now() + timeout));
     context.restart();
     context.poll();
   }
@@ -30,7 +30,7 @@
   }
 };
 
-TEST(admission_test, queues_in_order_and_refuses_above_the_limit) {
+TEST(admission_test, queue_is_fifo_and_limited) {
   gate.set_limits(1, 2);
   for (int name = 1; name <= 4; ++name) enter(name, seconds(60));
   LONGS_EQUAL(2, results.size());
@@ -45,7 +45,7 @@
   LONGS_EQUAL(0, gate.queued());
 }
 
-TEST(admission_test, passed_deadline_frees_the_place_for_the_next) {
+TEST(admission_test, request_past_its_deadline_leaves_the_queue) {
   gate.set_limits(1, 5);
   enter(1, seconds(60));
   enter(2, milliseconds(1));
--- a/tests/unit/routing/back_end_picker_test.cc
+++ b/tests/unit/routing/back_end_picker_test.cc
@@ -27,7 +27,7 @@
   CHECK_FALSE(picker.pick(servers, {"a", "b", "c"}, now).has_value());
 }
 
-TEST(back_end_picker_test, three_failures_in_a_row_eject_for_a_while) {
+TEST(back_end_picker_test, three_consecutive_failures_eject_temporarily) {
   fail("a", 2);
   CHECK_FALSE(picker.is_ejected("a", now));
   fail("a", 1);
@@ -36,7 +36,7 @@
   CHECK_FALSE(picker.is_ejected("a", now + milliseconds(500)));
 }
 
-TEST(back_end_picker_test, an_answer_ends_a_row_of_failures) {
+TEST(back_end_picker_test, an_answer_resets_the_failure_count) {
   fail("a", 2);
   picker.note_sent("a");
   picker.note_answer("a");
@@ -44,12 +44,12 @@
   CHECK_FALSE(picker.is_ejected("a", now));
 }
 
-TEST(back_end_picker_test, ejected_servers_serve_if_there_are_no_others) {
+TEST(back_end_picker_test, ejected_servers_are_used_if_all_are_ejected) {
   for (std::string const& server : servers) fail(server, 3);
   CHECK(picker.pick(servers, {}, now).has_value());
 }
 
-TEST(back_end_picker_test, busier_server_is_picked_less) {
+TEST(back_end_picker_test, more_loaded_server_is_picked_less_often) {
   for (int count = 0; count < 50; ++count) picker.note_sent("a");
   int picked = 0;
   for (int round = 0; round < 300; ++round) {
@@ -58,7 +58,7 @@
   CHECK(picked < 60);
 }
 
-TEST(back_end_picker_test, retries_stay_a_share_of_first_tries) {
+TEST(back_end_picker_test, retries_are_limited_to_a_fraction_of_first_attempts) {
   retry_budget budget;
   budget.set_percent(10);
   int retries = 0;
