--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -100,7 +100,7 @@
   /// None if the platform takes no calls of one node at a time.
   std::optional<duties> duties_;
   server_watch server_watch_{context_, adapter_, servers_, settings_.leave_time,
-                             [this] { return feed_.store_back_at(); }};
+                             [this] { return feed_.store_recovered_at(); }};
   relay::record_feed feed_{context_, adapter_.store(), transport_, make_feed_options(),
                            [this] { return pools_.other_owner(); }};
   operator_requests operator_requests_{
@@ -180,7 +180,7 @@
     selector_.note_new_life(one.id);
   });
   listen_to_records();
-  feed_.on_store_back([this] { operator_requests_.resynchronize(); });
+  feed_.on_store_recovered([this] { operator_requests_.resynchronize(); });
   feed_.start();
   quarantine_.start();
   if (duties_) duties_->start();
@@ -328,8 +328,8 @@
   now.role = feed_.role();
   now.records = feed_.counters();
   now.polls_answered = feed_.answers().answered();
-  now.whole_answers = feed_.answers().whole_answers();
-  now.whole_records = feed_.answers().whole_records();
+  now.snapshot_answers = feed_.answers().snapshot_answers();
+  now.snapshot_records = feed_.answers().snapshot_records();
   for (relay::topic const one : relay::k_topics) {
     now.records_held.emplace_back(rpc::EnumNameRecordTopic(one), feed_.view(one).records().size());
   }
--- a/src/gateway/metrics.cc
+++ b/src/gateway/metrics.cc
@@ -60,16 +60,17 @@
   }
   set("polls_sent_total", "questions to other nodes", now.records.polls_sent);
   set("polls_failed_total", "questions without an answer", now.records.polls_failed);
-  set("polls_not_sure_total", "answers of nodes that were not sure", now.records.polls_not_sure);
+  set("polls_not_sure_total", "answers of nodes that were not sure",
+      now.records.polls_not_authoritative);
   set("polls_answered_total", "questions of other nodes answered", now.polls_answered);
-  set("whole_answers_total", "answers with all wanted records of a topic", now.whole_answers);
-  set("whole_records_total", "records in those answers", now.whole_records);
+  set("whole_answers_total", "answers with all wanted records of a topic", now.snapshot_answers);
+  set("whole_records_total", "records in those answers", now.snapshot_records);
   for (auto const& [topic, count] : now.records_held) {
     page.set("frostline_records_held", "records that this node holds", static_cast<double>(count),
              {{"topic", topic}});
   }
   set("claims_total", "claims of the zone's record", now.records.claims);
-  set("turns_to_store_total", "times that no relay answered", now.records.turns_to_store);
+  set("turns_to_store_total", "times that no relay answered", now.records.store_fallbacks);
 }
 
 void write_usage(snapshot& page, usage_readings const& usage) {
--- a/src/gateway/metrics.h
+++ b/src/gateway/metrics.h
@@ -50,8 +50,8 @@
   relay::feed_role role = relay::feed_role::standby;
   relay::feed_counters records;
   std::uint64_t polls_answered = 0;
-  std::uint64_t whole_answers = 0;
-  std::uint64_t whole_records = 0;
+  std::uint64_t snapshot_answers = 0;
+  std::uint64_t snapshot_records = 0;
   /// Records that this node holds, by topic.
   std::vector<std::pair<std::string, std::size_t>> records_held;
   milliseconds records_age{0};
--- a/src/gateway/server_watch.cc
+++ b/src/gateway/server_watch.cc
@@ -37,7 +37,7 @@
     if (!one) return std::nullopt;
     relay::record_traits traits;
     traits.group = one->service;
-    traits.place = hash_bytes(one->address.to_string());
+    traits.placement_hash = hash_bytes(one->address.to_string());
     traits.digest = directory::digest_for_callers(*one);
     return traits;
   };
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -79,7 +79,7 @@
   routing::leaving_tracker leaving_;
   std::unique_ptr<bulk::store> bulk_store_;
   std::unique_ptr<bulk::client> bulk_;
-  std::unique_ptr<ownership::keeper> keeper_;
+  std::unique_ptr<ownership::ownership_manager> keeper_;
   std::unique_ptr<rollout::node_dependencies> rollout_parts_;
   std::unique_ptr<rollout::service> rollout_;
   std::unique_ptr<operators::service> operators_;
@@ -107,9 +107,9 @@
 node::components::components(asio::io_context& context, settings given)
     : settings_(std::move(given)), context_(context) {
   ownership::identity const self{settings_.id, incarnation_, settings_.zone};
-  keeper_ = std::make_unique<ownership::keeper>(context_, kv_, config_, config_sync_, members_,
-                                                self, settings_.listen.to_string(),
-                                                [this] { return rollout_->list_resources(); });
+  keeper_ = std::make_unique<ownership::ownership_manager>(
+      context_, kv_, config_, config_sync_, members_, self, settings_.listen.to_string(),
+      [this] { return rollout_->list_resources(); });
   routing::proxy_hooks hooks;
   hooks.is_cut_off = [this] { return is_cut_off(); };
   hooks.is_leaving = [this](machines::machine const& server) {
--- a/src/ownership/keeper.cc
+++ b/src/ownership/ownership_manager.cc
@@ -1,4 +1,4 @@
-#include "ownership/keeper.h"
+#include "ownership/ownership_manager.h"
 
 #include "base/log.h"
 #include "rpc/codec.h"
@@ -15,9 +15,11 @@
 
 }  // namespace
 
-keeper::keeper(asio::io_context& context, kv::client& service, config::store const& store,
-               config::sync& sync, membership::table const& members, identity self,
-               std::string address, std::function<std::vector<resource>()> list_resources)
+ownership_manager::ownership_manager(asio::io_context& context, kv::client& service,
+                                     config::store const& store, config::sync& sync,
+                                     membership::table const& members, identity self,
+                                     std::string address,
+                                     std::function<std::vector<resource>()> list_resources)
     : context_(context),
       service_(service),
       store_(store),
@@ -32,25 +34,25 @@
   record_ = rpc::encode(record);
 }
 
-void keeper::start() {
+void ownership_manager::start() {
   spawn(context_, lease_loop());
   spawn(context_, acquire_loop());
 }
 
-config::store::owner_entry const* keeper::find_owner(std::string const& key) const {
+config::store::owner_entry const* ownership_manager::find_owner(std::string const& key) const {
   if (key.starts_with(config::k_shard_owners)) {
     return store_.find_shard_owner(key.substr(config::k_shard_owners.size()));
   }
   return store_.find_engine_owner(key.substr(config::k_engine_owners.size()));
 }
 
-kv::revision keeper::epoch_of(std::string const& key) const {
+kv::revision ownership_manager::epoch_of(std::string const& key) const {
   config::store::owner_entry const* owner = find_owner(key);
   if (owner == nullptr || !is_self(owner->record, self_)) return 0;
   return owner->revision;
 }
 
-awaitable<void> keeper::lease_loop() {
+awaitable<void> ownership_manager::lease_loop() {
   while (!stopping_) {
     if (lease_ == 0) {
       auto granted = co_await service_.grant_lease(k_lease_time_to_live);
@@ -66,7 +68,7 @@
   }
 }
 
-awaitable<void> keeper::acquire_loop() {
+awaitable<void> ownership_manager::acquire_loop() {
   while (!stopping_) {
     if (lease_ != 0 && store_.is_complete()) {
       std::vector<resource> const resources = list_resources_();
@@ -83,7 +85,7 @@
   }
 }
 
-awaitable<void> keeper::rebalance(std::vector<resource> const& resources) {
+awaitable<void> ownership_manager::rebalance(std::vector<resource> const& resources) {
   if (boot_clock::now() < next_rebalance_) co_return;
   next_rebalance_ = boot_clock::now() + k_rebalance_interval;
   std::vector<std::string> held;
@@ -94,7 +96,7 @@
   if (excess) co_await release(std::move(*excess));
 }
 
-awaitable<void> keeper::release(std::string key) {
+awaitable<void> ownership_manager::release(std::string key) {
   kv::transaction change;
   change.compares.push_back({key, epoch_of(key)});
   change.on_success.push_back({kv::operation_kind::remove, key, {}, 0});
@@ -105,12 +107,12 @@
   sync_.apply_own({key, answer.value().store_revision, {}, true});
 }
 
-void keeper::note_owned(std::string const& key, kv::revision epoch) {
+void ownership_manager::note_owned(std::string const& key, kv::revision epoch) {
   log_line(log_level::info, k_part, "Became owner.", {{"key", key}, {"epoch", epoch}});
   sync_.apply_own({key, epoch, record_, false});
 }
 
-awaitable<void> keeper::acquire(acquisition wish) {
+awaitable<void> ownership_manager::acquire(acquisition wish) {
   kv::transaction change;
   change.compares.push_back({wish.key, wish.expected});
   change.on_success.push_back({kv::operation_kind::put, wish.key, record_, lease_});
@@ -124,14 +126,14 @@
 }
 
 /// After a lost answer: the record itself says whether this process wrote it.
-awaitable<void> keeper::read_back(std::string key) {
+awaitable<void> ownership_manager::read_back(std::string key) {
   auto read = co_await service_.range(key);
   if (!read || read.value().entries.empty()) co_return;
   kv::key_value const& held = read.value().entries.front();
   if (held.value == record_) note_owned(key, held.mod_revision);
 }
 
-awaitable<void> keeper::release_all() {
+awaitable<void> ownership_manager::release_all() {
   stopping_ = true;
   if (lease_ == 0) co_return;
   auto revoked = co_await service_.revoke(lease_);
--- a/src/ownership/keeper.h
+++ b/src/ownership/ownership_manager.h
@@ -12,13 +12,13 @@
 
 namespace frostline::ownership {
 
-class keeper {
+class ownership_manager {
  public:
   /// @param address HTTP address that owner records carry.
   /// @param list_resources everything that wants an owner, by the node's current knowledge.
-  keeper(asio::io_context& context, kv::client& service, config::store const& store,
-         config::sync& sync, membership::table const& members, identity self, std::string address,
-         std::function<std::vector<resource>()> list_resources);
+  ownership_manager(asio::io_context& context, kv::client& service, config::store const& store,
+                    config::sync& sync, membership::table const& members, identity self,
+                    std::string address, std::function<std::vector<resource>()> list_resources);
 
   void start();
   /// Gives every owned resource up, for a planned stop.
--- a/src/relay/poll_service.cc
+++ b/src/relay/poll_service.cc
@@ -121,7 +121,7 @@
   while (boot_clock::now() < deadline && can_wait(call)) co_await changed_.wait_until(deadline);
   rpc::PollReplyT reply;
   reply.waited_ms = milliseconds_since(begin, boot_clock::now());
-  reply.store_back_ms_ago = milliseconds_since(views_.store_back_at(), boot_clock::now());
+  reply.store_back_ms_ago = milliseconds_since(views_.store_recovered_at(), boot_clock::now());
   for (auto const& position : call.positions) {
     reply.topics.push_back(
         std::make_unique<rpc::TopicChangesT>(write_changes(read_question(*position, call.node))));
--- a/src/relay/poll_service.h
+++ b/src/relay/poll_service.h
@@ -34,8 +34,8 @@
   void add_methods(rpc::dispatcher& methods);
   std::uint64_t answered() const { return answered_; }
   /// Answers that held all wanted records of a topic, and those records.
-  std::uint64_t whole_answers() const { return whole_answers_; }
-  std::uint64_t whole_records() const { return whole_records_; }
+  std::uint64_t snapshot_answers() const { return whole_answers_; }
+  std::uint64_t snapshot_records() const { return whole_records_; }
   asking_nodes const& asking() const { return asking_; }
 
  private:
--- a/src/relay/record_feed.cc
+++ b/src/relay/record_feed.cc
@@ -216,7 +216,7 @@
             {"before", to_text(role_)},
             {"cause", cause},
             {"record", relays_.revision_of(options_.zone)}});
-  if (role == feed_role::direct) ++counters_.turns_to_store;
+  if (role == feed_role::direct) ++counters_.store_fallbacks;
   role_ = role;
   follow_topics();
   role_changed_.notify_all();
@@ -249,10 +249,10 @@
     co_await role_changed_.wait_until(now + with_jitter(k_fruitless_pause));
     co_return;
   }
-  auto const before = counters_.polls_not_sure + counters_.polls_failed;
+  auto const before = counters_.polls_not_authoritative + counters_.polls_failed;
   std::uint64_t const changes = views_.changes();
   note_result(*peer, co_await ask(*peer));
-  bool const fruitless = counters_.polls_not_sure + counters_.polls_failed > before;
+  bool const fruitless = counters_.polls_not_authoritative + counters_.polls_failed > before;
   fruitless_polls_ = fruitless ? fruitless_polls_ + 1 : 0;
   if (fruitless_polls_ >= k_quick_tries) {
     co_await wait_for(with_jitter(k_fruitless_pause));
@@ -324,7 +324,7 @@
     ++counters_.polls_failed;
     picker_.note_failure(peer, now);
   } else {
-    ++counters_.polls_not_sure;
+    ++counters_.polls_not_authoritative;
     picker_.note_doubt(peer, now);
   }
   if (serving_peer_ == peer) {
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -58,9 +58,9 @@
 struct feed_counters {
   std::uint64_t polls_sent = 0;
   std::uint64_t polls_failed = 0;
-  std::uint64_t polls_not_sure = 0;
+  std::uint64_t polls_not_authoritative = 0;
   std::uint64_t claims = 0;
-  std::uint64_t turns_to_store = 0;
+  std::uint64_t store_fallbacks = 0;
 };
 
 class record_feed {
@@ -75,7 +75,7 @@
   /// Runs when the store answers this node again after a silence, or a watch got no answer: watches
   /// that others began before may be dead without showing it. Only nodes that follow a topic at the
   /// store notice.
-  void on_store_back(std::function<void()> listener) { store_back_ = std::move(listener); }
+  void on_store_recovered(std::function<void()> listener) { store_back_ = std::move(listener); }
   void start();
   /// Registers what other nodes call.
   void add_methods(rpc::dispatcher& methods) { service_.add_methods(methods); }
@@ -93,7 +93,7 @@
   /// Whether a source that was sure has told everything, or nobody else is likely to.
   bool is_trusted(time_point now) const;
   /// When the store last answered again after a silence; time_point::min(): it was never silent.
-  time_point store_back_at() const { return views_.store_back_at(); }
+  time_point store_recovered_at() const { return views_.store_recovered_at(); }
   feed_role role() const { return role_; }
   /// Relays of some zones, in the order of the zones' names: the same at all nodes that know the
   /// same records.
--- a/src/relay/record_selection.cc
+++ b/src/relay/record_selection.cc
@@ -14,8 +14,9 @@
 /// Parts of one node are nested, so that a change from one to the next moves few records.
 constexpr std::uint32_t k_step = 2;
 
-std::uint64_t mix(std::uint64_t place, std::uint64_t node) {
-  std::string_view const bytes(reinterpret_cast<char const*>(&place), sizeof place);
+std::uint64_t mix(std::uint64_t placement_hash, std::uint64_t node) {
+  std::string_view const bytes(reinterpret_cast<char const*>(&placement_hash),
+                               sizeof placement_hash);
   return hash_bytes(bytes, node);
 }
 
@@ -32,7 +33,7 @@
   if (everything_) return true;
   auto const part = parts_.find(traits.group);
   if (part == parts_.end() || part->second == k_unknown_part) return false;
-  return part->second == k_whole_group || mix(traits.place, node_) % part->second == 0;
+  return part->second == k_whole_group || mix(traits.placement_hash, node_) % part->second == 0;
 }
 
 bool record_selection::covers(record_selection const& wanted) const {
--- a/src/relay/record_selection.h
+++ b/src/relay/record_selection.h
@@ -18,7 +18,7 @@
   /// Records of one group are selected alike: a server's service.
   std::string group;
   /// Spreads a group's records over the nodes; one value for all lives at one address.
-  std::uint64_t place = 0;
+  std::uint64_t placement_hash = 0;
   /// Equal for values that other nodes can treat alike.
   std::uint64_t digest = 0;
 };
--- a/src/relay/topic_views.h
+++ b/src/relay/topic_views.h
@@ -40,7 +40,7 @@
   time_point confirmed_at(topic one) const { return confirmed_at_[index_of(one)]; }
   /// The store answered again at this time after a silence, to this node or another one.
   void note_store_back(time_point when) { store_back_at_ = std::max(store_back_at_, when); }
-  time_point store_back_at() const { return store_back_at_; }
+  time_point store_recovered_at() const { return store_back_at_; }
   bool all_loaded() const;
   /// Changes and first snapshots that were told, of all topics.
   std::uint64_t changes() const { return changes_; }
--- a/src/rollout/context.h
+++ b/src/rollout/context.h
@@ -14,7 +14,7 @@
 #include "kv/client.h"
 #include "machines/machine_list.h"
 #include "membership/table.h"
-#include "ownership/keeper.h"
+#include "ownership/ownership_manager.h"
 #include "routing/leaving_tracker.h"
 
 namespace frostline::rollout {
@@ -27,7 +27,7 @@
   config::store const& config;
   config::sync& config_sync;
   membership::table const& members;
-  ownership::keeper const& owner;
+  ownership::ownership_manager const& owner;
   machines::machine_list const& machines;
   routing::leaving_tracker const& leaving;
   bulk::client& bulk;
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -281,7 +281,7 @@
   for (std::size_t index = 0; index < nodes.size(); ++index) {
     if (nodes[index]->feed->role() == feed_role::relay) continue;
     LONGS_EQUAL(before[index], calls_of(*nodes[index]));
-    LONGS_EQUAL(0, nodes[index]->feed->counters().turns_to_store);
+    LONGS_EQUAL(0, nodes[index]->feed->counters().store_fallbacks);
   }
   auto const relays = shared.list_now(zone_relays::records_prefix());
   shared.set_down(false);
@@ -295,13 +295,13 @@
 TEST(record_feed_test, relay_tells_that_the_store_is_back) {
   start_two_zones();
   int told = 0;
-  relay_of("a")->feed->on_store_back([&told] { ++told; });
+  relay_of("a")->feed->on_store_recovered([&told] { ++told; });
   relay_of("a")->store.set_cut(true);
   test_node& cut = *relay_of("a");
   CHECK(run_until([&] { return relay_of("a") != &cut; }));
   LONGS_EQUAL(0, told);
   test_node& relay = *relay_of("a");
-  relay.feed->on_store_back([&told] { ++told; });
+  relay.feed->on_store_recovered([&told] { ++told; });
   shared.set_down(true);
   time_point const end = boot_clock::now() + store_source::k_longest_silence + seconds(1);
   while (boot_clock::now() < end) context.run_for(milliseconds(10));
@@ -469,7 +469,7 @@
   for (test_node* one : late) {
     LONGS_EQUAL(1, one->store.lists());
     LONGS_EQUAL(0, one->store.watches());
-    LONGS_EQUAL(0, one->feed->counters().turns_to_store);
+    LONGS_EQUAL(0, one->feed->counters().store_fallbacks);
   }
 }
 
