--- a/src/membership/gossip_service.cc
+++ b/src/membership/gossip_service.cc
@@ -36,12 +36,12 @@
 }
 
 void gossip_service::send(std::vector<outgoing_message> const& messages) {
-  for (outgoing_message const& one : messages) {
-    auto const where = parse_endpoint(one.gossip_address);
+  for (outgoing_message const& outgoing : messages) {
+    auto const where = parse_endpoint(outgoing.gossip_address);
     if (!where) continue;
-    std::string const bytes = rpc::encode(one.message);
+    std::string const bytes = rpc::encode(outgoing.message);
     udp::endpoint const remote(asio::ip::make_address(where->address), where->port);
-    boost::system::error_code ignored;  // a lost datagram is a lost datagram
+    boost::system::error_code ignored;  // the protocol tolerates lost datagrams
     socket_.send_to(asio::buffer(bytes), remote, 0, ignored);
     ++traffic_.messages_sent;
     traffic_.bytes_sent += bytes.size();
--- a/src/membership/gossip_service.h
+++ b/src/membership/gossip_service.h
@@ -1,4 +1,4 @@
-/// @file Carries the membership table's messages over UDP.
+/// @file Sends and receives the membership table's messages over UDP.
 #pragma once
 
 #include "base/asio.h"
@@ -7,7 +7,7 @@
 
 namespace frostline::membership {
 
-/// Bytes and messages since the start, both directions.
+/// Traffic counters since the start of the process.
 struct gossip_traffic {
   std::uint64_t messages_sent = 0;
   std::uint64_t bytes_sent = 0;
@@ -21,9 +21,9 @@
   gossip_service(asio::io_context& context, table& members)
       : context_(context), table_(members), socket_(context) {}
 
-  /// Binds the socket and starts. @return an error text; empty if it runs.
+  /// Binds the socket and starts the protocol. Returns an error text, or an empty one on success.
   std::string start(endpoint const& where);
-  /// Tells peers that this node leaves.
+  /// Announces to peers that this node is leaving.
   void announce_leave();
   void stop();
   gossip_traffic const& traffic() const { return traffic_; }
--- a/src/membership/table.cc
+++ b/src/membership/table.cc
@@ -6,15 +6,15 @@
 namespace frostline::membership {
 namespace {
 
-/// Each update is sent this many times the logarithm of the number of members.
+/// Number of sends of each update, per binary logarithm of the number of members.
 constexpr double k_retransmit_factor = 3;
 constexpr milliseconds k_relay_lifetime{2000};
-/// Bounds the traffic of a new node that learns hundreds of others from the machine list.
-constexpr std::size_t k_introductions_per_tick = 2;
-/// Every so many probes one goes to a dead member, so that a healed partition is found.
+/// Bounds the traffic of a new node that learns of hundreds of members from the machine list.
+constexpr std::size_t k_first_pings_per_tick = 2;
+/// One in this many probes is accompanied by a ping to a dead member, to detect healed partitions.
 constexpr std::uint64_t k_dead_probe_every = 5;
 
-/// Precedence of two states of one incarnation: the higher one holds.
+/// Precedence of states within one incarnation: the higher rank wins.
 int rank(member_state state) {
   switch (state) {
     case member_state::ALIVE:
@@ -31,11 +31,12 @@
 
 constexpr std::size_t k_full_update_size = 3;
 constexpr std::size_t k_leaving_per_message = 6;
-/// Up to 16 members the suspicion timeout is as configured.
+/// Binary logarithm of the number of members (16) up to which the suspicion timeout is not scaled.
 constexpr double k_members_log_for_base_suspicion = 4;
 
-/// News of a member that does not live needs no addresses: whoever does not know it need not.
-bool is_bare(member_update const& update) { return update.state != member_state::ALIVE; }
+/// Updates of members that are not alive carry no addresses: they matter only to nodes that already
+/// know the member.
+bool is_sent_bare(member_update const& update) { return update.state != member_state::ALIVE; }
 
 member_update bare_state(member_update const& update) {
   member_update bare;
@@ -65,14 +66,14 @@
   entry.update.state = member_state::ALIVE;
   entry.since = now;
   members_[seed.id] = std::move(entry);
-  unheard_.push_back(seed.id);
+  uncontacted_.push_back(seed.id);
   ++changes_;
 }
 
-void table::introduce(std::vector<outgoing_message>& out) {
-  for (std::size_t count = 0; count < k_introductions_per_tick && !unheard_.empty();) {
-    member const* target = find(unheard_.front());
-    unheard_.pop_front();
+void table::ping_uncontacted(std::vector<outgoing_message>& out) {
+  for (std::size_t count = 0; count < k_first_pings_per_tick && !uncontacted_.empty();) {
+    member const* target = find(uncontacted_.front());
+    uncontacted_.pop_front();
     if (target == nullptr || target->last_heard != time_point::min()) continue;
     out.push_back(
         {target->update.gossip_address, make_message(rpc::GossipKind::PING, ++sequence_)});
@@ -110,12 +111,12 @@
   std::sort(candidates.begin(), candidates.end(), [](auto const* left, auto const* right) {
     return left->sends_left > right->sends_left;
   });
-  std::size_t room = k_news_per_message;
+  std::size_t units_left = k_update_units_per_message;
   for (queued_update* queued : candidates) {
-    bool const bare = is_bare(queued->update);
+    bool const bare = is_sent_bare(queued->update);
     std::size_t const size = bare ? 1 : k_full_update_size;
-    if (size > room) break;
-    room -= size;
+    if (size > units_left) break;
+    units_left -= size;
     message.updates.push_back(
         std::make_unique<member_update>(bare ? bare_state(queued->update) : queued->update));
     --queued->sends_left;
@@ -185,7 +186,8 @@
   }
   member& held = found->second;
   if (!supersedes(update, held.update)) return;
-  // Everyone has greeted this member or will, from the same machine list: no news to spread.
+  // All nodes ping this member from the same machine list, so its first contact is not
+  // disseminated.
   bool const first_heard = held.update.incarnation == 0 && update.state == member_state::ALIVE;
   if (update.gossip_address.empty()) {
     held.update.incarnation = update.incarnation;
@@ -198,15 +200,15 @@
   if (!first_heard) queue_update(held.update);
 }
 
-void table::hear_from(gossip_message const& message, time_point now) {
+void table::note_sender(gossip_message const& message, time_point now) {
   member_update const& sender = *message.sender;
   apply_update(sender, now);
   auto const found = members_.find(sender.id);
   if (found == members_.end()) return;
   found->second.last_heard = now;
-  bool const alone_in_zone = std::all_of(members_.begin(), members_.end(), [this](auto const& one) {
-    return one.second.update.zone == self_.zone;
-  });
+  bool const alone_in_zone =
+      std::all_of(members_.begin(), members_.end(),
+                  [this](auto const& entry) { return entry.second.update.zone == self_.zone; });
   if (alone_in_zone || sender.zone != self_.zone) last_heard_outside_zone_ = now;
   time_point const kv_known = now - milliseconds(message.kv_age_ms);
   kv_known_at_ = std::max(kv_known_at_, kv_known);
@@ -219,7 +221,7 @@
 std::vector<outgoing_message> table::receive(gossip_message const& message, time_point now) {
   std::vector<outgoing_message> out;
   if (!message.sender || message.sender->id == self_.id) return out;
-  hear_from(message, now);
+  note_sender(message, now);
   for (auto const& update : message.updates) apply_update(*update, now);
   for (auto const& mark : message.leaving) spread_leaving(mark->backend, mark->incarnation);
   std::string const& sender_address = message.sender->gossip_address;
@@ -279,7 +281,7 @@
   if (dead.empty()) return std::nullopt;
   member const* chosen = dead[random_() % dead.size()];
   gossip_message message = make_message(rpc::GossipKind::PING, ++sequence_);
-  // Tells the member what is believed of it, so that it refutes.
+  // Carries the member's recorded state, so that the member can refute it.
   message.updates.push_back(std::make_unique<member_update>(chosen->update));
   return outgoing_message{chosen->update.gossip_address, std::move(message)};
 }
@@ -310,7 +312,7 @@
   if (found == members_.end()) return;
   if (found->second.update.state == member_state::ALIVE) {
     set_state(found->second, member_state::SUSPECT, now);
-    // Told at once, so that it can refute before the news has gone around.
+    // The suspect learns of it immediately, so that it can refute before the suspicion spreads.
     gossip_message message = make_message(rpc::GossipKind::PING, ++sequence_);
     message.updates.push_back(std::make_unique<member_update>(found->second.update));
     out.push_back({found->second.update.gossip_address, std::move(message)});
@@ -334,15 +336,14 @@
   }
 }
 
-milliseconds table::suspicion_time() const {
+milliseconds table::scaled_suspicion_timeout() const {
   double const members = static_cast<double>(members_.size()) + 2;
   double const factor = std::max(1.0, std::log2(members) / k_members_log_for_base_suspicion);
   std::chrono::duration<double, std::milli> const base = times_.suspicion_timeout;
   return std::chrono::duration_cast<milliseconds>(base * factor);
 }
 
-/// After a pause of this node itself nobody is blamed for what it could not hear meanwhile.
-void table::forgive_own_pause(time_point now) {
+void table::compensate_own_pause(time_point now) {
   bool const paused = last_tick_ != time_point::min() && now - last_tick_ > times_.own_pause;
   if (paused) {
     probe_.acknowledged = true;
@@ -356,27 +357,27 @@
 void table::expire(time_point now) {
   for (auto& [id, entry] : members_) {
     bool const suspected = entry.update.state == member_state::SUSPECT;
-    if (suspected && now - entry.since >= suspicion_time()) {
+    if (suspected && now - entry.since >= scaled_suspicion_timeout()) {
       set_state(entry, member_state::DEAD, now);
     }
   }
-  std::erase_if(members_, [&](auto const& one) {
-    return !one.second.is_alive() && now - one.second.since >= times_.forget_after;
+  std::erase_if(members_, [&](auto const& entry) {
+    return !entry.second.is_alive() && now - entry.second.since >= times_.forget_after;
   });
   std::erase_if(relayed_,
-                [&](auto const& one) { return now - one.second.started >= k_relay_lifetime; });
+                [&](auto const& entry) { return now - entry.second.started >= k_relay_lifetime; });
 }
 
 std::vector<outgoing_message> table::tick(time_point now) {
   std::vector<outgoing_message> out;
-  forgive_own_pause(now);
+  compensate_own_pause(now);
   expire(now);
-  introduce(out);
+  ping_uncontacted(out);
   bool const waiting = !probe_.acknowledged && !probe_.indirect;
   if (waiting && now - probe_.started >= times_.ack_timeout) probe_indirectly(out);
   if (now < next_probe_) return out;
   conclude_probe(now, out);
-  // Jitter, so that nodes that started together do not probe together.
+  // Jitter keeps nodes that started together from probing in step.
   auto const tenth = times_.probe_interval.count() / 10;
   std::uniform_int_distribution<std::int64_t> jitter(-tenth, tenth);
   next_probe_ = now + times_.probe_interval + milliseconds(jitter(random_));
@@ -393,8 +394,8 @@
     if (entry.is_alive()) listeners.push_back(&entry);
   }
   std::shuffle(listeners.begin(), listeners.end(), random_);
-  constexpr std::size_t k_told_at_once = 8;
-  if (listeners.size() > k_told_at_once) listeners.resize(k_told_at_once);
+  constexpr std::size_t k_leave_fanout = 8;
+  if (listeners.size() > k_leave_fanout) listeners.resize(k_leave_fanout);
   std::vector<outgoing_message> out;
   for (member const* listener : listeners) {
     out.push_back(
--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -1,5 +1,6 @@
-/// @file Membership among nodes: SWIM (probe, indirect probe, suspicion, refutation) as a pure
-/// state machine. Time and random numbers are passed in; messages come out.
+/// @file Cluster membership by the SWIM protocol (probe, indirect probe, suspicion, refutation) as
+/// a state machine without I/O. The caller passes in the time and the random seed, and sends the
+/// returned messages.
 #pragma once
 
 #include <deque>
@@ -18,35 +19,35 @@
 using member_update = rpc::MemberUpdateT;
 using gossip_message = rpc::GossipMessageT;
 
-/// All times of the protocol.
+/// Timeouts and intervals of the protocol.
 struct timing {
   milliseconds probe_interval{1000};
-  /// Without an answer for this long, helpers are asked to probe.
+  /// After this long without an ACK, other members are asked to probe the target.
   milliseconds ack_timeout{300};
-  /// A suspect that does not refute within this is dead. It grows with the logarithm of the number
-  /// of members, as does the time that a refutation takes to reach everyone.
+  /// A suspect that does not refute within this time is declared dead. Scaled by the logarithm of
+  /// the number of members, since so does the time that a refutation takes to reach all of them.
   milliseconds suspicion_timeout{3000};
-  /// A node whose own timers come later than this was paused or overloaded itself, and judges
-  /// nobody by the time it missed.
+  /// If this node's own timer is later than this, the node was suspended or overloaded, and the
+  /// missed time does not count against other members.
   milliseconds own_pause{400};
-  /// A dead or departed member is forgotten after this.
+  /// A dead or departed member is removed after this time.
   milliseconds forget_after{120'000};
 };
 
 inline constexpr std::size_t k_indirect_probes = 3;
-/// What rides on one message, in units of a bare state change (about 50 bytes); an update with the
-/// member's addresses counts as three. Keeps a message within one datagram.
-inline constexpr std::size_t k_news_per_message = 20;
+/// Maximum size of the updates in one message, in units of a bare state change (about 50 bytes); an
+/// update with the member's addresses counts as three. Keeps a message within one datagram.
+inline constexpr std::size_t k_update_units_per_message = 20;
 
 struct outgoing_message {
   std::string gossip_address;
   gossip_message message;
 };
 
-/// A member as this node sees it.
+/// A member in the view of this node.
 struct member {
   member_update update;
-  /// When the state last changed.
+  /// Time of the last state change.
   time_point since;
   time_point last_heard = time_point::min();
 
@@ -59,35 +60,35 @@
  public:
   table(member_update self, timing times, std::uint64_t seed);
 
-  /// Adds a node that the machine list names; known members stay as they are.
+  /// Adds a node from the machine list; has no effect on a known member.
   void add_seed(member_update const& seed, time_point now);
-  /// Runs the timers. @return messages to send.
+  /// Runs the timers. Returns messages to send.
   std::vector<outgoing_message> tick(time_point now);
-  /// Takes a message in. @return answers to send.
+  /// Processes a received message. Returns messages to send in response.
   std::vector<outgoing_message> receive(gossip_message const& message, time_point now);
-  /// Announces that this node leaves.
+  /// Marks this node as leaving. Returns messages that announce it.
   std::vector<outgoing_message> leave(time_point now);
 
-  /// What rides on every message.
+  /// Sets the facts about this node that every message carries.
   void set_local_facts(std::uint64_t config_revision, milliseconds kv_age);
 
-  /// Spreads a back end's word that it leaves to all nodes.
+  /// Disseminates to all nodes that a back end is leaving.
   void spread_leaving(std::string const& back_end, std::uint64_t incarnation);
-  /// Highest incarnation of each back end that is known, by gossip, to leave.
+  /// Highest incarnation of each back end that is known from gossip to be leaving.
   std::map<std::string, std::uint64_t> const& leaving_back_ends() const { return leaving_; }
 
   std::map<std::string, member> const& members() const { return members_; }
   member const* find(std::string const& id) const;
   member_update const& self() const { return self_; }
-  /// Grows with each change of any member's state.
+  /// Incremented by each change of the table.
   std::uint64_t change_count() const { return changes_; }
-  /// The member with the highest configuration revision that gossip told of.
+  /// The member with the highest configuration revision seen in gossip.
   std::string const& newest_config_holder() const { return newest_config_holder_; }
   std::uint64_t newest_config_revision() const { return newest_config_revision_; }
-  /// When a peer last knew the key-value service to answer.
+  /// Latest time at which a peer is known to have reached the key-value service.
   time_point kv_known_at() const { return kv_known_at_; }
-  /// When a node of another zone was last heard (any node, if there are no other zones);
-  /// time_point::min() if never.
+  /// When a message from another zone was last received (from any node, if there are no other
+  /// zones); time_point::min() if never.
   time_point last_heard_outside_zone() const { return last_heard_outside_zone_; }
   bool knows_other_members() const;
 
@@ -99,7 +100,7 @@
     bool indirect = false;
     bool acknowledged = true;
   };
-  /// Somebody else's probe that this node carries out.
+  /// A probe that this node performs on behalf of another member.
   struct relayed_probe {
     std::string requester_address;
     std::uint64_t requester_sequence = 0;
@@ -113,19 +114,20 @@
   void apply_update(member_update const& update, time_point now);
   void refute(member_update const& claim);
   void set_state(member& entry, member_state state, time_point now);
-  void hear_from(gossip_message const& message, time_point now);
+  void note_sender(gossip_message const& message, time_point now);
   std::vector<outgoing_message> start_probe(time_point now);
   void conclude_probe(time_point now, std::vector<outgoing_message>& out);
   void probe_indirectly(std::vector<outgoing_message>& out);
-  /// How often a new piece of news is sent on.
+  /// Number of times that a new update is sent.
   std::size_t retransmissions() const;
   void attach_leaving(gossip_message& message);
   std::string next_target();
-  /// Pings members that only the machine list has named so far.
-  void introduce(std::vector<outgoing_message>& out);
+  /// Pings members that are known only from the machine list.
+  void ping_uncontacted(std::vector<outgoing_message>& out);
   void expire(time_point now);
-  milliseconds suspicion_time() const;
-  void forgive_own_pause(time_point now);
+  milliseconds scaled_suspicion_timeout() const;
+  /// After a pause of this node, extends suspicions by the missed time.
+  void compensate_own_pause(time_point now);
   std::optional<outgoing_message> probe_dead_member(time_point now);
 
   struct queued_update {
@@ -139,9 +141,9 @@
   std::map<std::string, member> members_;
   std::map<std::string, queued_update> updates_;
   std::deque<std::string> probe_order_;
-  std::deque<std::string> unheard_;
+  std::deque<std::string> uncontacted_;
   std::map<std::string, std::uint64_t> leaving_;
-  /// Sends left of each mark that is still being spread.
+  /// Remaining sends of each leaving mark that is still being disseminated.
   std::map<std::string, std::size_t> leaving_sends_;
   probe probe_;
   std::map<std::uint64_t, relayed_probe> relayed_;
--- a/tests/unit/membership/membership_table_test.cc
+++ b/tests/unit/membership/membership_table_test.cc
@@ -1,4 +1,4 @@
-/// @file The membership protocol over a simulated network with virtual time.
+/// @file Runs the membership protocol over a simulated network with virtual time.
 
 #include <CppUTest/TestHarness.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Nodes "0", "1", … whose messages arrive at once unless `lost` says otherwise.
+/// Nodes "0", "1", … whose messages arrive immediately unless `lost` returns true.
 class network {
  public:
   explicit network(int nodes) {
@@ -35,8 +35,8 @@
     time_point const end = now + duration;
     while (now < end) {
       now += milliseconds(100);
-      for (auto const& [id, one] : tables) {
-        if (!stopped(id)) deliver(id, one->tick(now));
+      for (auto const& [id, node_table] : tables) {
+        if (!stopped(id)) deliver(id, node_table->tick(now));
       }
     }
   }
@@ -74,44 +74,44 @@
 
 TEST_GROUP(membership_table_test){};
 
-TEST(membership_table_test, quiet_network_keeps_everyone_alive) {
+TEST(membership_table_test, all_members_stay_alive_without_failures) {
   network net(20);
   net.run(seconds(60));
-  for (auto const& [viewer, one] : net.tables) {
-    for (auto const& [id, entry] : one->members()) {
+  for (auto const& [viewer, view] : net.tables) {
+    for (auto const& [id, entry] : view->members()) {
       CHECK(entry.update.state == member_state::ALIVE);
     }
   }
 }
 
-TEST(membership_table_test, dead_node_is_known_everywhere_within_seconds) {
+TEST(membership_table_test, dead_node_is_detected_by_all_members) {
   network net(20);
   net.run(seconds(5));
   net.stopped = [](std::string const& id) { return id == "7"; };
   net.run(seconds(15));
-  for (auto const& [viewer, one] : net.tables) {
+  for (auto const& [viewer, view] : net.tables) {
     if (viewer != "7") CHECK(net.state_of(viewer, "7") == member_state::DEAD);
   }
 }
 
-TEST(membership_table_test, many_deaths_at_once_are_known_everywhere_within_seconds) {
+TEST(membership_table_test, simultaneous_deaths_are_detected_by_all_members) {
   network net(100);
   net.run(seconds(30));
   auto const dead = [](std::string const& id) { return std::stoi(id) % 10 == 0; };
   net.stopped = dead;
   net.run(seconds(30));
-  for (auto const& [viewer, one] : net.tables) {
+  for (auto const& [viewer, view] : net.tables) {
     if (dead(viewer)) continue;
-    for (auto const& [id, entry] : one->members()) {
+    for (auto const& [id, entry] : view->members()) {
       CHECK((entry.update.state == member_state::DEAD) == dead(id));
     }
   }
 }
 
-TEST(membership_table_test, node_that_was_paused_itself_blames_nobody) {
+TEST(membership_table_test, suspended_node_suspects_no_other_member) {
   network net(30);
   net.run(seconds(10));
-  // Node 3 stands still for 20 s; then its own timers fire, before it reads what has come.
+  // Node 3 is suspended for 20 s; then its timers fire before it reads the messages received.
   net.stopped = [](std::string const& id) { return id == "3"; };
   net.run(seconds(20));
   net.stopped = [](std::string const&) { return false; };
@@ -121,7 +121,7 @@
   }
 }
 
-TEST(membership_table_test, paused_node_refutes_its_death) {
+TEST(membership_table_test, suspended_node_refutes_its_death) {
   network net(10);
   net.run(seconds(5));
   net.stopped = [](std::string const& id) { return id == "3"; };
@@ -129,23 +129,23 @@
   CHECK(net.state_of("0", "3") == member_state::DEAD);
   net.stopped = [](std::string const&) { return false; };
   net.run(seconds(20));
-  for (auto const& [viewer, one] : net.tables) {
+  for (auto const& [viewer, view] : net.tables) {
     if (viewer != "3") CHECK(net.state_of(viewer, "3") == member_state::ALIVE);
   }
 }
 
-TEST(membership_table_test, one_lossy_link_kills_nobody) {
+TEST(membership_table_test, one_broken_link_causes_no_deaths) {
   network net(10);
   net.lost = [](std::string const& from, std::string const& to) {
     return (from == "1" && to == "2") || (from == "2" && to == "1");
   };
   net.run(seconds(60));
-  for (auto const& [viewer, one] : net.tables) {
-    for (auto const& [id, entry] : one->members()) CHECK(entry.is_alive());
+  for (auto const& [viewer, view] : net.tables) {
+    for (auto const& [id, entry] : view->members()) CHECK(entry.is_alive());
   }
 }
 
-TEST(membership_table_test, healed_partition_joins_again) {
+TEST(membership_table_test, members_rejoin_after_a_partition) {
   network net(9);
   net.run(seconds(5));
   auto const side = [](std::string const& id) { return std::stoi(id) % 3 == 0; };
@@ -157,12 +157,12 @@
   CHECK(net.state_of("0", "1") == member_state::DEAD);
   net.lost = [](std::string const&, std::string const&) { return false; };
   net.run(seconds(60));
-  for (auto const& [viewer, one] : net.tables) {
-    for (auto const& [id, entry] : one->members()) CHECK(entry.is_alive());
+  for (auto const& [viewer, view] : net.tables) {
+    for (auto const& [id, entry] : view->members()) CHECK(entry.is_alive());
   }
 }
 
-TEST(membership_table_test, cut_off_node_hears_nobody_outside_its_zone) {
+TEST(membership_table_test, isolated_node_receives_nothing_from_other_zones) {
   network net(9);
   net.run(seconds(5));
   net.lost = [](std::string const& from, std::string const& to) {
@@ -173,28 +173,28 @@
   CHECK(net.now - net.tables.at("1")->last_heard_outside_zone() < seconds(2));
 }
 
-TEST(membership_table_test, new_node_is_learnt_by_its_own_messages) {
+TEST(membership_table_test, new_node_becomes_known_by_its_own_messages) {
   network net(6);
   net.run(seconds(5));
   net.add(99);
   net.introduce(99);
   net.run(seconds(15));
-  for (auto const& [viewer, one] : net.tables) {
-    if (viewer != "99") CHECK(one->find("99") != nullptr);
+  for (auto const& [viewer, view] : net.tables) {
+    if (viewer != "99") CHECK(view->find("99") != nullptr);
   }
 }
 
-TEST(membership_table_test, leaving_is_spread_and_not_taken_for_death) {
+TEST(membership_table_test, leaving_is_disseminated_and_not_reported_as_death) {
   network net(6);
   net.run(seconds(5));
   net.deliver("2", net.tables.at("2")->leave(net.now));
   net.run(seconds(10));
-  for (auto const& [viewer, one] : net.tables) {
+  for (auto const& [viewer, view] : net.tables) {
     if (viewer != "2") CHECK(net.state_of(viewer, "2") == member_state::LEAVING);
   }
 }
 
-TEST(membership_table_test, restarted_node_replaces_its_old_self) {
+TEST(membership_table_test, restarted_node_replaces_its_previous_incarnation) {
   network net(5);
   net.run(seconds(5));
   net.stopped = [](std::string const& id) { return id == "4"; };
