--- a/src/ownership/owner_lease.cc
+++ b/src/ownership/owner_lease.cc
@@ -12,26 +12,26 @@
 
 constexpr std::string_view k_part = "ownership";
 constexpr std::string_view k_prefix = "frostline/owners/";
-/// A node that has just owned the resource asks for it again before the others do.
 constexpr std::string_view k_orderer_suffix = "/orders";
-constexpr milliseconds k_return_delay{20};
-constexpr milliseconds k_first_delay{80};
-constexpr milliseconds k_delay_spread{240};
-constexpr milliseconds k_retry_pause{200};
-/// A node with this share of a core or more is as good an owner as any.
-constexpr double k_strong_share = 0.5;
-/// Longest claim delay: above the first delay's spread over a few strong nodes.
+/// The previous owner or orderer tries to acquire the resource before other nodes.
+constexpr milliseconds k_reacquisition_delay{20};
+constexpr milliseconds k_acquisition_delay{80};
+constexpr milliseconds k_acquisition_jitter{240};
+constexpr milliseconds k_retry_backoff{200};
+/// Processor share, in cores, from which a node has no claim delay.
+constexpr double k_full_strength_share = 0.5;
+/// Exceeds the typical jitter of the first of a few strong nodes.
 constexpr milliseconds k_max_claim_delay{250};
 constexpr milliseconds k_transaction_timeout{1500};
 constexpr milliseconds k_orderer_timeout{400};
-/// An order is given up by its sender, and its connection closed, within this time (0.8 s, the
-/// longest timeout of an order or a report); a former owner stops before its lease is over.
-constexpr milliseconds k_longest_order{800};
+/// Longest timeout of an order or a report: its sender has abandoned it and closed the connection
+/// by then. The previous owner stops before its lease expires.
+constexpr milliseconds k_max_order_duration{800};
 
 }  // namespace
 
 milliseconds claim_delay_of(double processor_share) {
-  double const strength = std::clamp(processor_share / k_strong_share, 0.0, 1.0);
+  double const strength = std::clamp(processor_share / k_full_strength_share, 0.0, 1.0);
   auto const longest = static_cast<double>(k_max_claim_delay.count());
   return milliseconds(static_cast<std::int64_t>(longest * (1.0 - strength)));
 }
@@ -73,16 +73,16 @@
 }
 
 void owner_lease::note_record(kv::key_value const* record) {
-  shown_by_claim_at_.reset();
-  heard_revision_ = record == nullptr ? 0 : record->mod_revision;
-  adopt(record);
+  seen_by_refused_claim_at_.reset();
+  followed_revision_ = record == nullptr ? 0 : record->mod_revision;
+  apply_owner_record(record);
 }
 
-void owner_lease::adopt(kv::key_value const* record) {
+void owner_lease::apply_owner_record(kv::key_value const* record) {
   record_known_ = true;
   if (record == nullptr) {
     owner_.reset();
-    if (state_ == lease_state::owner) stop_owning("record gone");
+    if (state_ == lease_state::owner) stop_owning("record deleted");
     changed_.notify_all();
     return;
   }
@@ -90,7 +90,7 @@
   if (!decoded) return;
   auto const address = parse_endpoint(decoded->address);
   if (!address) return;
-  bool const news = !owner_ || owner_->epoch != record->mod_revision;
+  bool const is_new = !owner_ || owner_->epoch != record->mod_revision;
   owner_ = known_owner{decoded->node, *address, record->mod_revision};
   record_revision_ = record->mod_revision;
   last_owner_ = decoded->node;
@@ -98,7 +98,7 @@
   if (own && state_ == lease_state::acquiring) become_owner(record->mod_revision);
   bool const overtaken = state_ == lease_state::owner && record->mod_revision != epoch_;
   if (!own && overtaken) stop_owning("another owner");
-  if (news) {
+  if (is_new) {
     log_line(log_level::info, k_part, "Owner known.",
              {{"resource", resource_}, {"owner", decoded->node}, {"epoch", record->mod_revision}});
     changed_.notify_all();
@@ -112,24 +112,24 @@
   orderer_revision_ = record.mod_revision;
 }
 
-void owner_lease::take_current(std::vector<kv::key_value> const& records) {
-  for (kv::key_value const& one : records) {
-    if (one.key == orderer_key_of(resource_)) note_orderer(one);
-    if (one.key != key_of(resource_)) continue;
-    adopt(&one);
-    // The follower may have told of it before the refusal came, and does not tell twice.
-    bool const heard = one.mod_revision == heard_revision_;
-    if (!heard) shown_by_claim_at_ = boot_clock::now();
+void owner_lease::apply_current_records(std::vector<kv::key_value> const& records) {
+  for (kv::key_value const& record : records) {
+    if (record.key == orderer_key_of(resource_)) note_orderer(record);
+    if (record.key != key_of(resource_)) continue;
+    apply_owner_record(&record);
+    // The follower may already have delivered this revision, and delivers it only once.
+    bool const already_delivered = record.mod_revision == followed_revision_;
+    if (!already_delivered) seen_by_refused_claim_at_ = boot_clock::now();
   }
 }
 
-void owner_lease::forget_unheard_owner() {
-  bool const due = shown_by_claim_at_ && state_ != lease_state::owner &&
-                   boot_clock::now() >= *shown_by_claim_at_ + options_.time_to_live;
+void owner_lease::forget_unconfirmed_owner() {
+  bool const due = seen_by_refused_claim_at_ && state_ != lease_state::owner &&
+                   boot_clock::now() >= *seen_by_refused_claim_at_ + options_.time_to_live;
   if (!due) return;
-  shown_by_claim_at_.reset();
+  seen_by_refused_claim_at_.reset();
   owner_.reset();
-  log_line(log_level::info, k_part, "Owner of a refused claim was not heard of again.",
+  log_line(log_level::info, k_part, "Forgot an owner that was seen only in a refused claim.",
            {{"resource", resource_}, {"owner", last_owner_}, {"epoch", record_revision_}});
 }
 
@@ -154,22 +154,21 @@
   becoming_orderer_ = false;
   if (!outcome) co_return;
   if (!outcome.value().succeeded) {
-    // An earlier try without an answer may have been done.
-    take_current(outcome.value().read);
+    // An earlier attempt without an answer may have succeeded.
+    apply_current_records(outcome.value().read);
     co_return;
   }
   if (outcome.value().store_revision < orderer_revision_) co_return;
   last_orderer_ = options_.node;
   orderer_revision_ = outcome.value().store_revision;
-  log_line(log_level::info, k_part, "Orders may be given.",
-           {{"resource", resource_}, {"epoch", epoch}});
+  log_line(log_level::info, k_part, "Became orderer.", {{"resource", resource_}, {"epoch", epoch}});
 }
 
 time_point owner_lease::first_order_time(time_point now) const {
-  // Orders of one machine, whichever of its processes gives them, never count as another's.
+  // Orders of a previous process of this node count as its own.
   if (ordered_last()) return now;
-  time_point const no_turns = may_have_ordered_until_ + order_gap_;
-  return std::max(now + std::min(k_longest_order, order_gap_), no_turns);
+  time_point const gap_over_at = may_have_ordered_until_ + order_gap_;
+  return std::max(now + std::min(k_max_order_duration, order_gap_), gap_over_at);
 }
 
 void owner_lease::become_owner(std::uint64_t epoch) {
@@ -199,34 +198,35 @@
     if (state_ == lease_state::owner) {
       co_await renew();
     } else if (record_known_ && (!owner_ || owner_->node == options_.node)) {
-      co_await compete();
+      co_await try_acquire();
     } else {
       co_await changed_.wait_until(boot_clock::now() + seconds(1));
-      forget_unheard_owner();
+      forget_unconfirmed_owner();
     }
   }
 }
 
-milliseconds owner_lease::delay_before_asking() const {
-  if (last_owner_ == options_.node || ordered_last()) return k_return_delay;
-  // Progress can be offered to whoever follows; a weak processor can't be made up for.
-  if (preferred_) return k_return_delay + options_.claim_delay;
-  return k_first_delay + with_jitter(k_delay_spread) + options_.claim_delay;
+milliseconds owner_lease::acquisition_delay() const {
+  if (last_owner_ == options_.node || ordered_last()) return k_reacquisition_delay;
+  // The claim delay still applies: progress can be transferred to a new owner, processor share
+  // can't.
+  if (preferred_) return k_reacquisition_delay + options_.claim_delay;
+  return k_acquisition_delay + with_jitter(k_acquisition_jitter) + options_.claim_delay;
 }
 
-awaitable<void> owner_lease::compete() {
-  co_await changed_.wait_until(boot_clock::now() + delay_before_asking());
-  bool const own_former = owner_ && owner_->node == options_.node;
-  if ((owner_ && !own_former) || released_) co_return;
+awaitable<void> owner_lease::try_acquire() {
+  co_await changed_.wait_until(boot_clock::now() + acquisition_delay());
+  bool const own_previous = owner_ && owner_->node == options_.node;
+  if ((owner_ && !own_previous) || released_) co_return;
   state_ = lease_state::acquiring;
-  bool const done = co_await create_record(own_former ? record_revision_ : 0);
+  bool const acquired = co_await create_record(own_previous ? record_revision_ : 0);
   if (state_ != lease_state::acquiring) co_return;
   state_ = lease_state::standby;
-  if (!done) co_await changed_.wait_until(boot_clock::now() + with_jitter(k_retry_pause));
+  if (!acquired) co_await changed_.wait_until(boot_clock::now() + with_jitter(k_retry_backoff));
 }
 
 awaitable<bool> owner_lease::create_record(kv::revision replaced) {
-  time_point const asked = boot_clock::now();
+  time_point const sent_at = boot_clock::now();
   auto lease = co_await store_.grant_lease(options_.time_to_live);
   bool const overtaken = owner_ && (replaced == 0 || record_revision_ != replaced);
   if (!lease || overtaken) co_return false;
@@ -244,17 +244,17 @@
   put.value = rpc::encode(record);
   put.lease = lease_;
   change.on_success.push_back(std::move(put));
-  valid_until_ = asked + options_.time_to_live - options_.safety_margin;
+  valid_until_ = sent_at + options_.time_to_live - options_.safety_margin;
   auto outcome = co_await store_.apply(std::move(change), k_transaction_timeout);
-  if (state_ == lease_state::owner) co_return true;  // the follower was faster
+  if (state_ == lease_state::owner) co_return true;  // the follower delivered the record first
   if (outcome && outcome.value().succeeded) {
-    confirmed_at_ = asked;
+    confirmed_at_ = sent_at;
     become_owner(outcome.value().store_revision);
     co_return true;
   }
   bool const refused = outcome && !outcome.value().succeeded;
-  if (refused) take_current(outcome.value().read);
-  // With an unknown outcome the record may still come; the follower tells.
+  if (refused) apply_current_records(outcome.value().read);
+  // After an unknown outcome the record may still appear; the follower then delivers it.
   if (state_ == lease_state::owner) co_return true;
   lease_ = 0;
   co_return false;
@@ -264,23 +264,23 @@
   time_point next = boot_clock::now() + options_.renewal_interval;
   if (orders_from_ > boot_clock::now()) next = std::min(next, orders_from_);
   co_await changed_.wait_until(next);
-  time_point const begun = boot_clock::now();
-  bool const entitled = holds(begun) && begun >= orders_from_;
+  time_point const started_at = boot_clock::now();
+  bool const entitled = holds(started_at) && started_at >= orders_from_;
   if (entitled && !ordered_last() && !becoming_orderer_) spawn(context_, become_orderer());
-  // An answer may be lost, so another renewal goes out long before the lease is over.
-  while (state_ == lease_state::owner && !released_ && confirmed_at_ < begun) {
+  // An answer may be lost, so renewals are repeated long before the lease expires.
+  while (state_ == lease_state::owner && !released_ && confirmed_at_ < started_at) {
     spawn(context_, renew_once(lease_));
-    co_await renewed_.wait_until(boot_clock::now() + options_.renewal_patience);
+    co_await renewed_.wait_until(boot_clock::now() + options_.renewal_timeout);
   }
 }
 
 awaitable<void> owner_lease::renew_once(kv::lease_id lease) {
-  time_point const asked = boot_clock::now();
+  time_point const sent_at = boot_clock::now();
   auto renewed = co_await store_.renew_lease(lease);
   if (state_ != lease_state::owner || lease != lease_) co_return;
   if (renewed) {
-    valid_until_ = std::max(valid_until_, asked + renewed.value() - options_.safety_margin);
-    confirmed_at_ = std::max(confirmed_at_, asked);
+    valid_until_ = std::max(valid_until_, sent_at + renewed.value() - options_.safety_margin);
+    confirmed_at_ = std::max(confirmed_at_, sent_at);
     renewed_.notify_all();
     co_return;
   }
@@ -296,7 +296,7 @@
   changed_.notify_all();
   if (state_ != lease_state::owner) co_return;
   kv::lease_id const held = lease_;
-  stop_owning("handed on");
+  stop_owning("released");
   co_await store_.end_lease(held);
 }
 
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -1,12 +1,14 @@
-/// @file Which node owns a resource that one node at a time may act for: a pool of engines (its
-/// batch jobs, the orders to its engines), or the system's calls to its platform. One lease
-/// in the record store decides; the revision at which its record was made is the owner's epoch.
+/// @file Ownership of a resource on which one node at a time may act: a pool of engines (its batch
+/// jobs and the orders to its engines), or the system's calls to its platform. Ownership is a
+/// record bound to a lease in the record store; the revision at which the record was created is the
+/// owner's epoch.
 ///
-/// A second record, the orderer's, outlives the lease: it names the last node that was entitled to
-/// give orders. An owner writes it before its first order, and takes the resource only at the
-/// revision of it that it knows. So the node that ordered last may order at once when it owns the
-/// resource again. Any other waits until no order of that node can be under way and, if it may have
-/// ordered itself before that node did, until that is so long ago that the two do not take turns.
+/// A second record, the orderer's, is not bound to the lease: it names the node that was last
+/// entitled to give orders. An owner writes it before its first order, and acquires the resource
+/// only if the orderer's record is unchanged. The last orderer may therefore give orders
+/// immediately when it acquires the resource again. Any other node waits until no order of the last
+/// orderer can be in flight. If that node may itself have given orders earlier, it also waits until
+/// the order gap has passed since then, so that orders of two nodes do not alternate.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +26,8 @@
 
 namespace frostline::ownership {
 
-/// standby -> acquiring -> owner -> lapsed -> standby; acquiring -> standby; owner -> standby when
-/// it is handed on.
+/// standby -> acquiring -> owner -> lapsed; acquiring -> standby; lapsed -> acquiring unless
+/// released.
 enum class lease_state { standby, acquiring, owner, lapsed };
 
 struct known_owner {
@@ -39,84 +41,88 @@
   endpoint address;
   milliseconds time_to_live{1500};
   milliseconds renewal_interval{400};
-  /// A renewal without an answer for that long is sent again.
-  milliseconds renewal_patience{150};
-  /// The lease counts as over this long before the store would end it.
+  /// A renewal without an answer for this long is sent again.
+  milliseconds renewal_timeout{150};
+  /// This node treats the lease as expired this long before the store does.
   milliseconds safety_margin{150};
-  /// Asks for a free resource that much later than the strongest node.
+  /// Additional delay before acquiring a free resource, for nodes with a small processor share.
   milliseconds claim_delay{0};
 };
 
-/// Resources whose names begin so are the system's duties towards its platform; all others are
-/// pools.
+/// Resources with this name prefix are duties: work that one node at a time does for the whole
+/// system. All other resources are pools.
 inline constexpr std::string_view k_duties_prefix = "duties/";
 
-/// How much later than the strongest node one with this share of a core asks for a free resource.
+/// Returns the claim delay for a node with a processor allowance of `processor_share` cores.
 milliseconds claim_delay_of(double processor_share);
 
-/// Candidate for, or owner of, one resource. Orders stand for whatever only one node at a time may
-/// send to others.
+/// Acquires and keeps the ownership of one resource. Orders are any requests that only one node at
+/// a time may send.
 class owner_lease {
  public:
   owner_lease(asio::io_context& context, kv::record_store& store, std::string resource,
               owner_lease_options options);
 
-  /// Key under which the owner of a resource stands; all lie below `owners_prefix`.
+  /// Key of a resource's owner record, which starts with `owners_prefix`.
   static std::string key_of(std::string const& resource);
   static std::string owners_prefix();
+  /// Key of a resource's orderer record.
   static std::string orderer_key_of(std::string const& resource);
-  /// The resource whose orderer's record has this key, if it is one.
+  /// Returns the resource if `key` is that of an orderer record.
   static std::optional<std::string> resource_of_orderer_key(std::string const& key);
 
   void start();
-  /// The store's record of this resource, as the owners' follower heard it; null: there is none.
+  /// Takes the owner record as delivered by the follower of the owners; null if there is none.
   void note_record(kv::key_value const* record);
-  /// The store's record of the resource's last orderer, as the owners' follower heard it.
+  /// Takes the orderer record as delivered by the follower of the owners.
   void note_orderer(kv::key_value const& record);
-  /// Hands the resource on: ends the lease and never asks for it again.
+  /// Ends the lease and never acquires the resource again.
   awaitable<void> release();
 
-  /// Whether this node may act as the owner now: its lease can't have ended.
+  /// Returns true if this node may act as owner: its lease cannot have expired at the store.
   bool holds(time_point now) const;
-  /// When the store last answered this node about its lease: what was asked then.
+  /// Send time of the last request by which the store confirmed the lease.
   time_point confirmed_at() const { return confirmed_at_; }
   lease_state state() const { return state_; }
   std::uint64_t epoch() const { return epoch_; }
-  /// Earliest time for the first order in this term.
+  /// Earliest time for the first order in this epoch.
   time_point orders_from() const { return orders_from_; }
-  /// Whether an order may be given now.
+  /// Returns true if this node may give an order now.
   bool may_order(time_point now) const;
-  /// Whether this node holds the owner's progress, and so asks for a free resource before the
-  /// others.
+  /// Sets whether this node holds a replica of the owner's progress, and therefore tries to acquire
+  /// the resource before nodes without one.
   void set_preferred(bool preferred) { preferred_ = preferred; }
-  /// Orders of one node, another and the first again must be spread over more than this time.
+  /// Sets the minimum time between two orders of a node if another node gave orders in between.
   void set_order_gap(milliseconds gap) { order_gap_ = gap; }
   std::optional<known_owner> const& owner() const { return owner_; }
   std::string const& resource() const { return resource_; }
 
-  /// `gained` runs when this node becomes owner, `lost` when it is not any more.
+  /// Sets callbacks: `gained` is called when this node becomes owner, `lost` when it stops.
   void on_change(std::function<void()> gained, std::function<void()> lost);
-  /// Ends when the known owner changes, or at `deadline`.
+  /// Waits until the known owner changes, or until `deadline`.
   awaitable<void> wait_for_change(time_point deadline) { return changed_.wait_until(deadline); }
 
  private:
   awaitable<void> run();
-  awaitable<void> compete();
-  milliseconds delay_before_asking() const;
-  /// @param replaced revision of the record of this machine's own former process; 0: none.
+  awaitable<void> try_acquire();
+  milliseconds acquisition_delay() const;
+  /// Writes the owner record and returns true if this node became owner.
+  /// @param replaced revision of a record left by a previous process of this node; 0 if none.
   awaitable<bool> create_record(kv::revision replaced);
-  /// Waits for the next renewal's time and asks until one is answered.
+  /// Waits until the next renewal is due, then sends renewals until one is answered.
   awaitable<void> renew();
   awaitable<void> renew_once(kv::lease_id lease);
   void become_owner(std::uint64_t epoch);
   time_point first_order_time(time_point now) const;
   bool ordered_last() const { return last_orderer_ == options_.node; }
-  /// Writes the orderer's record once the first order is due; repeated until it is known to stand.
+  /// Writes the orderer record. Called when the first order is due, and until a write is confirmed.
   awaitable<void> become_orderer();
-  void take_current(std::vector<kv::key_value> const& records);
-  void adopt(kv::key_value const* record);
-  /// Asks anew about an owner of whom no follower has told.
-  void forget_unheard_owner();
+  /// Applies the current records that the store returned with a refused transaction.
+  void apply_current_records(std::vector<kv::key_value> const& records);
+  void apply_owner_record(kv::key_value const* record);
+  /// Forgets an owner that the follower has not confirmed within a lease time, so that this node
+  /// tries to acquire the resource again.
+  void forget_unconfirmed_owner();
   void stop_owning(std::string_view cause);
 
   asio::io_context& context_;
@@ -130,21 +136,21 @@
   time_point valid_until_ = time_point::min();
   time_point confirmed_at_ = time_point::min();
   time_point orders_from_ = time_point::max();
-  /// Up to when this machine may have ordered in an earlier term; before its start, by a process
-  /// that this one does not know of.
+  /// Until when this node may have given orders in an earlier epoch. Initially the start of this
+  /// process, since a previous process may have given orders until then.
   time_point may_have_ordered_until_;
   milliseconds order_gap_{3000};
   std::optional<known_owner> owner_;
-  /// When a refused claim showed the owner, until a follower tells of it. A record that is gone
-  /// before the follower has heard of it is nothing that it would tell the end of.
-  std::optional<time_point> shown_by_claim_at_;
-  /// Revision of the owner's record of which the follower told last; 0: there was none.
-  kv::revision heard_revision_ = 0;
-  /// Revision of the owner's record.
+  /// When a refused acquisition revealed the owner; reset when the follower delivers its record. If
+  /// the record is deleted before the follower sees it, no deletion is delivered either.
+  std::optional<time_point> seen_by_refused_claim_at_;
+  /// Revision of the owner record as last delivered by the follower; 0 if there was none.
+  kv::revision followed_revision_ = 0;
+  /// Revision of the last known owner record.
   kv::revision record_revision_ = 0;
-  /// Node that owned the resource last, as far as is known.
+  /// Last known owner.
   std::string last_owner_;
-  /// Node that was entitled to order last, and the revision of the record that says so; 0: none.
+  /// Last orderer, and the revision of its record; 0 if there is none.
   std::string last_orderer_;
   kv::revision orderer_revision_ = 0;
   bool becoming_orderer_ = false;
--- a/src/ownership/ownership_manager.cc
+++ b/src/ownership/ownership_manager.cc
@@ -9,7 +9,7 @@
 constexpr std::string_view k_part = "ownership";
 constexpr seconds k_lease_time_to_live{10};
 constexpr milliseconds k_keep_alive_interval{3000};
-constexpr milliseconds k_lease_retry{500};
+constexpr milliseconds k_lease_retry_interval{500};
 constexpr milliseconds k_plan_interval{250};
 constexpr milliseconds k_rebalance_interval{1000};
 
@@ -60,11 +60,11 @@
     } else {
       auto kept = co_await service_.keep_alive(lease_);
       if (!kept && kept.error() == kv::errc::lease_expired) {
-        log_line(log_level::warning, k_part, "Lease has lapsed.", {{"lease", lease_}});
+        log_line(log_level::warning, k_part, "Lease expired.", {{"lease", lease_}});
         lease_ = 0;
       }
     }
-    co_await wait_for(lease_ == 0 ? k_lease_retry : k_keep_alive_interval);
+    co_await wait_for(lease_ == 0 ? k_lease_retry_interval : k_keep_alive_interval);
   }
 }
 
@@ -73,11 +73,11 @@
     if (lease_ != 0 && store_.is_complete()) {
       std::vector<resource> const resources = list_resources_();
       std::map<std::string, config::store::owner_entry const*> owner_of;
-      for (resource const& one : resources) owner_of[one.key] = find_owner(one.key);
+      for (resource const& wanted : resources) owner_of[wanted.key] = find_owner(wanted.key);
       auto const plan = plan_acquisitions(resources, self_, members_, owner_of);
-      for (acquisition const& wish : plan) {
+      for (acquisition const& planned : plan) {
         if (stopping_ || lease_ == 0) break;
-        co_await acquire(wish);
+        co_await acquire(planned);
       }
       co_await rebalance(resources);
     }
@@ -89,8 +89,8 @@
   if (boot_clock::now() < next_rebalance_) co_return;
   next_rebalance_ = boot_clock::now() + k_rebalance_interval;
   std::vector<std::string> held;
-  for (resource const& one : resources) {
-    if (epoch_of(one.key) != 0) held.push_back(one.key);
+  for (resource const& wanted : resources) {
+    if (epoch_of(wanted.key) != 0) held.push_back(wanted.key);
   }
   auto excess = plan_release(resources, held, self_, members_);
   if (excess) co_await release(std::move(*excess));
@@ -102,8 +102,8 @@
   change.on_success.push_back({kv::operation_kind::remove, key, {}, 0});
   auto answer = co_await service_.apply(std::move(change));
   bool const done = answer && answer.value().succeeded;
-  if (!done) co_return;  // the watch tells what became of it
-  log_line(log_level::info, k_part, "Gave a resource to another node.", {{"key", key}});
+  if (!done) co_return;  // the watch delivers the actual state
+  log_line(log_level::info, k_part, "Released a resource for another node.", {{"key", key}});
   sync_.apply_own({key, answer.value().store_revision, {}, true});
 }
 
@@ -112,20 +112,20 @@
   sync_.apply_own({key, epoch, record_, false});
 }
 
-awaitable<void> ownership_manager::acquire(acquisition wish) {
+awaitable<void> ownership_manager::acquire(acquisition target) {
   kv::transaction change;
-  change.compares.push_back({wish.key, wish.expected});
-  change.on_success.push_back({kv::operation_kind::put, wish.key, record_, lease_});
+  change.compares.push_back({target.key, target.expected});
+  change.on_success.push_back({kv::operation_kind::put, target.key, record_, lease_});
   auto answer = co_await service_.apply(std::move(change));
   if (answer && answer.value().succeeded) {
-    note_owned(wish.key, answer.value().store_revision);
+    note_owned(target.key, answer.value().store_revision);
     co_return;
   }
   bool const in_doubt = !answer && answer.error() == kv::errc::outcome_unknown;
-  if (in_doubt) co_await read_back(wish.key);
+  if (in_doubt) co_await read_back(target.key);
 }
 
-/// After a lost answer: the record itself says whether this process wrote it.
+/// Reads the record after a write with unknown outcome, to learn whether this process wrote it.
 awaitable<void> ownership_manager::read_back(std::string key) {
   auto read = co_await service_.range(key);
   if (!read || read.value().entries.empty()) co_return;
@@ -138,7 +138,7 @@
   if (lease_ == 0) co_return;
   auto revoked = co_await service_.revoke(lease_);
   bool const done = revoked.has_value();
-  log_line(log_level::info, k_part, "Released all that this node owned.", {{"done", done}});
+  log_line(log_level::info, k_part, "Released all owned resources.", {{"done", done}});
 }
 
 }  // namespace frostline::ownership
--- a/src/ownership/ownership_manager.h
+++ b/src/ownership/ownership_manager.h
@@ -1,4 +1,5 @@
-/// @file Holds this node's lease and its owner records in the key-value service.
+/// @file Maintains this node's lease and its owner records in the key-value service: acquires free
+/// resources, and releases some when it owns more than its share.
 #pragma once
 
 #include <functional>
@@ -14,26 +15,26 @@
 
 class ownership_manager {
  public:
-  /// @param address HTTP address that owner records carry.
-  /// @param list_resources everything that wants an owner, by the node's current knowledge.
+  /// @param address HTTP address to publish in owner records.
+  /// @param list_resources returns all resources currently known to need an owner.
   ownership_manager(asio::io_context& context, kv::client& service, config::store const& store,
                     config::sync& sync, membership::table const& members, identity self,
                     std::string address, std::function<std::vector<resource>()> list_resources);
 
   void start();
-  /// Gives every owned resource up, for a planned stop.
+  /// Releases all owned resources, for a planned shutdown.
   awaitable<void> release_all();
-  /// Stops acquiring.
+  /// Stops acquiring resources.
   void stop() { stopping_ = true; }
 
-  /// Epoch of a resource that this process owns; 0 if it does not.
+  /// Epoch at which this process owns a resource; 0 if it does not own it.
   kv::revision epoch_of(std::string const& key) const;
   identity const& self() const { return self_; }
 
  private:
   awaitable<void> lease_loop();
   awaitable<void> acquire_loop();
-  awaitable<void> acquire(acquisition wish);
+  awaitable<void> acquire(acquisition target);
   awaitable<void> rebalance(std::vector<resource> const& resources);
   awaitable<void> release(std::string key);
   awaitable<void> read_back(std::string key);
--- a/src/ownership/planner.cc
+++ b/src/ownership/planner.cc
@@ -18,37 +18,38 @@
   bool const self_leaves = members.self().state != membership::member_state::ALIVE;
   if (!self_leaves) candidates.push_back({self.node, self.zone});
   for (auto const& [id, peer] : members.members()) {
-    // A member that only the machine list names has not been heard: it may not run yet.
+    // A member known only from the machine list may not be running yet.
     bool const heard = peer.last_heard != time_point::min() || peer.update.incarnation != 0;
     if (peer.is_alive() && heard) candidates.push_back({id, peer.update.zone});
   }
   return candidates;
 }
 
-/// The candidate with the highest weight, of those in `zone` if there are any.
-std::string heaviest(resource const& wanted, std::vector<candidate> const& candidates) {
+/// Returns the candidate with the highest rendezvous weight, among those in the resource's zone if
+/// there are any.
+std::string highest_weighted(resource const& wanted, std::vector<candidate> const& candidates) {
   candidate const* best = nullptr;
   bool best_in_zone = false;
   std::uint64_t best_weight = 0;
-  for (candidate const& one : candidates) {
-    bool const in_zone = one.zone == wanted.zone;
+  for (candidate const& current : candidates) {
+    bool const in_zone = current.zone == wanted.zone;
     if (best_in_zone && !in_zone) continue;
-    std::uint64_t const weight = rendezvous_weight(wanted.key, one.node);
+    std::uint64_t const weight = rendezvous_weight(wanted.key, current.node);
     bool const better = best == nullptr || (in_zone && !best_in_zone) || weight > best_weight;
     if (!better) continue;
-    best = &one;
+    best = &current;
     best_in_zone = in_zone;
     best_weight = weight;
   }
   return best == nullptr ? std::string() : best->node;
 }
 
-/// Whether the process that wrote the record is known to be gone.
+/// Returns true if the process that wrote the record is known to have ended.
 bool owner_is_gone(rpc::OwnerRecordT const& record, identity const& self,
                    membership::table const& members) {
   if (record.node == self.node) return record.incarnation < self.incarnation;
   membership::member const* owner = members.find(record.node);
-  if (owner == nullptr) return false;  // its lease decides
+  if (owner == nullptr) return false;  // unknown: its record lasts until its lease expires
   return owner->update.state == membership::member_state::DEAD;
 }
 
@@ -56,7 +57,7 @@
 
 std::string preferred_owner(resource const& wanted, identity const& self,
                             membership::table const& members) {
-  return heaviest(wanted, live_candidates(self, members));
+  return highest_weighted(wanted, live_candidates(self, members));
 }
 
 bool is_self(rpc::OwnerRecordT const& record, identity const& self) {
@@ -71,9 +72,9 @@
   std::size_t const share = (resources.size() + nodes) / std::max<std::size_t>(nodes, 1);
   if (held.size() <= share + share / 4 + 1) return std::nullopt;
   std::set<std::string> const mine(held.begin(), held.end());
-  for (resource const& one : resources) {
-    if (!mine.contains(one.key)) continue;
-    if (heaviest(one, candidates) != self.node) return one.key;
+  for (resource const& wanted : resources) {
+    if (!mine.contains(wanted.key)) continue;
+    if (highest_weighted(wanted, candidates) != self.node) return wanted.key;
   }
   return std::nullopt;
 }
@@ -87,7 +88,7 @@
     auto const found = owner_of.find(wanted.key);
     config::store::owner_entry const* owner = found == owner_of.end() ? nullptr : found->second;
     bool const free = owner == nullptr || owner_is_gone(owner->record, self, members);
-    if (!free || heaviest(wanted, candidates) != self.node) continue;
+    if (!free || highest_weighted(wanted, candidates) != self.node) continue;
     plan.push_back({wanted.key, owner == nullptr ? 0 : owner->revision});
   }
   return plan;
--- a/src/ownership/planner.h
+++ b/src/ownership/planner.h
@@ -1,4 +1,4 @@
-/// @file Decides which shards and engines this node should own. Pure.
+/// @file Decides which shards and engines this node should own. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -16,41 +16,41 @@
 struct resource {
   /// Key of its owner record.
   std::string key;
-  /// Zone in which an owner is preferred; empty for any.
+  /// Preferred zone of the owner; empty for any.
   std::string zone;
 };
 
-/// A wish to become the owner: a compare-and-swap on the owner key.
+/// A planned compare-and-swap on an owner key, by which this node becomes the owner.
 struct acquisition {
   std::string key;
-  /// Revision that the key must still have; 0 if it must be absent.
+  /// Revision that the key must still have; 0 if it must not exist.
   kv::revision expected = 0;
 };
 
-/// Who this node is, for owner records.
+/// Identifies this process in owner records.
 struct identity {
   std::string node;
-  /// Start of this process; a restarted node is another owner.
+  /// Differs for each start of the node, so that a restarted node is a different owner.
   std::uint64_t incarnation = 0;
   std::string zone;
 };
 
-/// The node that should own `resource`, among this one and the live members: in its zone if
-/// there are any, by rendezvous hashing.
+/// Returns the node that should own `wanted`, by rendezvous hashing over this node and the live
+/// members. Considers only nodes in the resource's zone if there are any.
 std::string preferred_owner(resource const& wanted, identity const& self,
                             membership::table const& members);
 
-/// Whether an owner record is this very process's.
+/// Returns true if this process wrote the owner record.
 bool is_self(rpc::OwnerRecordT const& record, identity const& self);
 
-/// What this node should try to acquire now.
-/// @param owner_of current record of a key, or null.
+/// Returns the resources that this node should try to acquire now.
+/// @param owner_of current owner record by resource key; null if there is none.
 std::vector<acquisition> plan_acquisitions(
     std::vector<resource> const& resources, identity const& self, membership::table const& members,
     std::map<std::string, config::store::owner_entry const*> const& owner_of);
 
-/// What this node should give up now, so that ownership spreads over nodes that have joined: a
-/// resource that another live node is preferred for, while this one holds more than its share.
+/// Returns the key of a resource to release, so that nodes that have joined get their share: one
+/// for which another live node is preferred, while this node owns clearly more than its share.
 /// @param held keys that this node owns.
 /// @return at most one key, so that moves are spread over time.
 std::optional<std::string> plan_release(std::vector<resource> const& resources,
--- a/tests/unit/ownership/owner_lease_test.cc
+++ b/tests/unit/ownership/owner_lease_test.cc
@@ -1,4 +1,4 @@
-/// @file One owner of a pool at a time, and orders of two owners that keep their distance.
+/// @file A pool has one owner at a time, and orders of different owners do not overlap.
 
 #include "ownership/owner_lease.h"
 
@@ -14,7 +14,7 @@
 TEST_GROUP(owner_lease_test) {
   asio::io_context context{1};
   memory_record_store store{context};
-  owner_lease one{context, store, "pool", options_of("one")};
+  owner_lease lease{context, store, "pool", options_of("one")};
   int gained = 0;
   int lost = 0;
 
@@ -26,8 +26,8 @@
   }
 
   void setup() override {
-    one.on_change([this] { ++gained; }, [this] { ++lost; });
-    one.set_order_gap(milliseconds(3000));
+    lease.on_change([this] { ++gained; }, [this] { ++lost; });
+    lease.set_order_gap(milliseconds(3000));
   }
 
   void put_owner(std::string const& node, std::string const& token) {
@@ -44,18 +44,18 @@
     store.put_now(owner_lease::orderer_key_of("pool"), rpc::encode(record));
   }
 
-  /// What the owners' follower would say.
-  void tell(owner_lease & which) {
+  /// Delivers the store's records, like the follower of the owners.
+  void deliver(owner_lease & target) {
     bool owned = false;
-    for (kv::key_value const& one : store.list_now(owner_lease::key_of("pool"))) {
-      if (owner_lease::resource_of_orderer_key(one.key)) {
-        which.note_orderer(one);
+    for (kv::key_value const& record : store.list_now(owner_lease::key_of("pool"))) {
+      if (owner_lease::resource_of_orderer_key(record.key)) {
+        target.note_orderer(record);
       } else {
         owned = true;
-        which.note_record(&one);
+        target.note_record(&record);
       }
     }
-    if (!owned) which.note_record(nullptr);
+    if (!owned) target.note_record(nullptr);
   }
 
   void run_until(std::function<bool()> condition) {
@@ -65,211 +65,211 @@
 };
 
 TEST(owner_lease_test, free_pool_is_acquired_and_the_first_order_waits) {
-  one.start();
-  tell(one);
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  CHECK(one.holds(boot_clock::now()));
-  LONGS_EQUAL(store.revision_of(owner_lease::key_of("pool")), one.epoch());
-  CHECK(one.orders_from() > boot_clock::now() + seconds(2));
+  CHECK(lease.holds(boot_clock::now()));
+  LONGS_EQUAL(store.revision_of(owner_lease::key_of("pool")), lease.epoch());
+  CHECK(lease.orders_from() > boot_clock::now() + seconds(2));
 }
 
-TEST(owner_lease_test, lease_is_not_held_beyond_its_time) {
-  one.start();
-  tell(one);
+TEST(owner_lease_test, lease_is_not_held_after_its_time_to_live) {
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  CHECK_FALSE(one.holds(boot_clock::now() + milliseconds(1400)));
+  CHECK_FALSE(lease.holds(boot_clock::now() + milliseconds(1400)));
 }
 
-TEST(owner_lease_test, pool_of_another_node_is_left_alone) {
+TEST(owner_lease_test, pool_owned_by_another_node_is_not_acquired) {
   put_owner("other", "t");
-  one.start();
-  tell(one);
+  lease.start();
+  deliver(lease);
   context.run_for(std::chrono::milliseconds(50));
   LONGS_EQUAL(0, gained);
-  STRCMP_EQUAL("other", one.owner()->node.c_str());
+  STRCMP_EQUAL("other", lease.owner()->node.c_str());
 }
 
-TEST(owner_lease_test, owner_that_only_a_refused_claim_showed_is_asked_for_again) {
-  // The follower is behind: it says that there is no owner, and never hears of this one's record.
+TEST(owner_lease_test, pool_is_acquired_after_an_unconfirmed_owner_is_forgotten) {
+  // The follower is behind: it delivers that there is no owner, and never sees the present record.
   put_owner("other", "t");
-  one.start();
-  one.note_record(nullptr);
-  run_until([&] { return one.owner().has_value(); });
-  STRCMP_EQUAL("other", one.owner()->node.c_str());
+  lease.start();
+  lease.note_record(nullptr);
+  run_until([&] { return lease.owner().has_value(); });
+  STRCMP_EQUAL("other", lease.owner()->node.c_str());
   store.remove_now(owner_lease::key_of("pool"));
   time_point const limit = boot_clock::now() + seconds(6);
   run_until([&] { return gained == 1 || boot_clock::now() > limit; });
   LONGS_EQUAL(1, gained);
 }
 
-TEST(owner_lease_test, owner_that_the_follower_told_of_is_not_asked_for_again) {
+TEST(owner_lease_test, owner_confirmed_by_the_follower_is_not_forgotten) {
   put_owner("other", "t");
-  one.start();
-  one.note_record(nullptr);
-  run_until([&] { return one.owner().has_value(); });
-  tell(one);
+  lease.start();
+  lease.note_record(nullptr);
+  run_until([&] { return lease.owner().has_value(); });
+  deliver(lease);
   time_point const limit = boot_clock::now() + seconds(4);
   run_until([&] { return boot_clock::now() > limit; });
-  STRCMP_EQUAL("other", one.owner()->node.c_str());
+  STRCMP_EQUAL("other", lease.owner()->node.c_str());
   LONGS_EQUAL(0, gained);
   LONGS_EQUAL(1, store.writes_of(owner_lease::key_of("pool")));
 }
 
-TEST(owner_lease_test, owner_that_the_follower_told_of_before_the_refusal_stays_known) {
+TEST(owner_lease_test, owner_delivered_before_the_refusal_is_not_forgotten) {
   put_owner("other", "t");
-  one.start();
-  one.note_record(nullptr);
-  store.before_next_answer([&] { tell(one); });
-  run_until([&] { return one.owner().has_value(); });
+  lease.start();
+  lease.note_record(nullptr);
+  store.before_next_answer([&] { deliver(lease); });
+  run_until([&] { return lease.owner().has_value(); });
   time_point const limit = boot_clock::now() + seconds(4);
-  run_until([&] { return !one.owner() || boot_clock::now() > limit; });
-  CHECK(one.owner().has_value());
+  run_until([&] { return !lease.owner() || boot_clock::now() > limit; });
+  CHECK(lease.owner().has_value());
 }
 
-TEST(owner_lease_test, record_of_the_own_former_process_is_replaced_at_once_and_orders_go_on) {
-  put_owner("one", "former");
+TEST(owner_lease_test, record_of_this_nodes_previous_process_is_replaced_and_orders_continue) {
+  put_owner("one", "previous");
   put_orderer("one");
-  auto const former = store.revision_of(owner_lease::key_of("pool"));
-  one.start();
-  tell(one);
+  auto const previous = store.revision_of(owner_lease::key_of("pool"));
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  CHECK(one.epoch() > former);
-  CHECK(one.orders_from() <= boot_clock::now());
+  CHECK(lease.epoch() > previous);
+  CHECK(lease.orders_from() <= boot_clock::now());
 }
 
-TEST(owner_lease_test, another_owners_record_ends_the_own_ownership) {
-  one.start();
-  tell(one);
+TEST(owner_lease_test, record_of_another_owner_ends_ownership) {
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
   put_owner("other", "t");
-  tell(one);
+  deliver(lease);
   LONGS_EQUAL(1, lost);
-  CHECK_FALSE(one.holds(boot_clock::now()));
+  CHECK_FALSE(lease.holds(boot_clock::now()));
 }
 
-TEST(owner_lease_test, expired_lease_ends_the_ownership_and_it_is_asked_for_again) {
-  one.start();
-  tell(one);
+TEST(owner_lease_test, expired_lease_ends_ownership_and_the_pool_is_acquired_again) {
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
   store.expire_leases();
   run_until([&] { return lost == 1; });
   run_until([&] { return gained == 2; });
-  // It never was entitled to order, so a former owner's order may still be close.
-  CHECK(one.orders_from() > boot_clock::now() + seconds(2));
+  // The node was never orderer, so it must wait for orders of a previous owner.
+  CHECK(lease.orders_from() > boot_clock::now() + seconds(2));
 }
 
-TEST(owner_lease_test, node_that_ordered_last_orders_at_once_when_it_owns_the_pool_again) {
-  one.set_order_gap(milliseconds(20));
-  one.start();
-  tell(one);
-  run_until([&] { return one.may_order(boot_clock::now()); });
+TEST(owner_lease_test, last_orderer_may_order_immediately_when_it_owns_the_pool_again) {
+  lease.set_order_gap(milliseconds(20));
+  lease.start();
+  deliver(lease);
+  run_until([&] { return lease.may_order(boot_clock::now()); });
   CHECK(store.revision_of(owner_lease::orderer_key_of("pool")) != 0);
-  one.set_order_gap(milliseconds(3000));
+  lease.set_order_gap(milliseconds(3000));
   store.expire_leases();
   run_until([&] { return lost == 1; });
   run_until([&] { return gained == 2; });
-  CHECK(one.may_order(boot_clock::now()));
+  CHECK(lease.may_order(boot_clock::now()));
 }
 
-TEST(owner_lease_test, nothing_may_be_ordered_before_the_store_knows_the_orderer) {
-  one.set_order_gap(milliseconds(0));
-  one.start();
-  tell(one);
+TEST(owner_lease_test, no_order_before_the_orderer_record_is_written) {
+  lease.set_order_gap(milliseconds(0));
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  CHECK_FALSE(one.may_order(boot_clock::now()));
-  run_until([&] { return one.may_order(boot_clock::now()); });
+  CHECK_FALSE(lease.may_order(boot_clock::now()));
+  run_until([&] { return lease.may_order(boot_clock::now()); });
   LONGS_EQUAL(1, store.writes_of(owner_lease::orderer_key_of("pool")));
 }
 
-TEST(owner_lease_test, restarted_owner_that_had_not_ordered_waits_for_the_former_orderer) {
-  put_owner("one", "former");
+TEST(owner_lease_test, restarted_owner_that_was_not_orderer_waits_for_the_last_orderer) {
+  put_owner("one", "previous");
   put_orderer("other");
-  one.start();
-  tell(one);
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  CHECK(one.orders_from() > boot_clock::now() + seconds(2));
+  CHECK(lease.orders_from() > boot_clock::now() + seconds(2));
 }
 
-TEST(owner_lease_test, node_that_never_ordered_waits_only_for_orders_that_are_under_way) {
+TEST(owner_lease_test, node_that_never_ordered_waits_only_for_orders_in_flight) {
   put_orderer("other");
-  one.set_order_gap(milliseconds(1200));
+  lease.set_order_gap(milliseconds(1200));
   time_point const old_enough = boot_clock::now() + milliseconds(1200);
   while (boot_clock::now() < old_enough) context.run_for(milliseconds(5));
   context.restart();
-  one.start();
-  tell(one);
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
   time_point const now = boot_clock::now();
-  CHECK(one.orders_from() > now + milliseconds(500));
-  CHECK(one.orders_from() <= now + milliseconds(800));
+  CHECK(lease.orders_from() > now + milliseconds(500));
+  CHECK(lease.orders_from() <= now + milliseconds(800));
 }
 
-TEST(owner_lease_test, node_that_ordered_before_another_one_does_not_take_turns_with_it) {
-  one.set_order_gap(milliseconds(0));
-  one.start();
-  tell(one);
-  run_until([&] { return one.may_order(boot_clock::now()); });
-  one.set_order_gap(milliseconds(3000));
+TEST(owner_lease_test, order_gap_separates_orders_of_alternating_owners) {
+  lease.set_order_gap(milliseconds(0));
+  lease.start();
+  deliver(lease);
+  run_until([&] { return lease.may_order(boot_clock::now()); });
+  lease.set_order_gap(milliseconds(3000));
   put_owner("other", "another");
   put_orderer("other");
-  tell(one);
+  deliver(lease);
   LONGS_EQUAL(1, lost);
   time_point const stopped = boot_clock::now();
   store.remove_now(owner_lease::key_of("pool"));
-  tell(one);
+  deliver(lease);
   run_until([&] { return gained == 2; });
-  CHECK(one.orders_from() >= stopped + milliseconds(2990));
+  CHECK(lease.orders_from() >= stopped + milliseconds(2990));
 }
 
-TEST(owner_lease_test, pool_is_not_taken_on_stale_knowledge_of_the_orderer) {
+TEST(owner_lease_test, pool_is_not_acquired_with_a_stale_orderer_revision) {
   put_orderer("one");
-  one.start();
-  tell(one);
+  lease.start();
+  deliver(lease);
   put_orderer("other");
   run_until([&] { return gained == 1; });
-  CHECK(one.orders_from() > boot_clock::now() + seconds(2));
+  CHECK(lease.orders_from() > boot_clock::now() + seconds(2));
 }
 
-TEST(owner_lease_test, orderers_record_whose_answer_is_lost_counts_once) {
-  one.set_order_gap(milliseconds(0));
-  one.start();
-  tell(one);
+TEST(owner_lease_test, orderer_record_is_written_once_if_the_answer_is_lost) {
+  lease.set_order_gap(milliseconds(0));
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
   store.lose_answers(1);
-  run_until([&] { return one.may_order(boot_clock::now()); });
+  run_until([&] { return lease.may_order(boot_clock::now()); });
   LONGS_EQUAL(1, store.writes_of(owner_lease::orderer_key_of("pool")));
 }
 
-TEST(owner_lease_test, orderers_key_names_its_pool) {
+TEST(owner_lease_test, pool_is_parsed_from_the_orderer_key) {
   STRCMP_EQUAL("pool",
                owner_lease::resource_of_orderer_key(owner_lease::orderer_key_of("pool"))->c_str());
   CHECK_FALSE(owner_lease::resource_of_orderer_key(owner_lease::key_of("pool")).has_value());
   CHECK_FALSE(owner_lease::resource_of_orderer_key("frostline/owners//orders").has_value());
 }
 
-TEST(owner_lease_test, acquisition_whose_answer_is_lost_counts_when_the_record_is_seen) {
+TEST(owner_lease_test, acquisition_with_a_lost_answer_succeeds_when_the_record_is_delivered) {
   store.lose_answers(1);
-  one.start();
-  tell(one);
+  lease.start();
+  deliver(lease);
   run_until([&] { return store.revision_of(owner_lease::key_of("pool")) != 0; });
-  tell(one);
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  CHECK(one.holds(boot_clock::now()));
+  CHECK(lease.holds(boot_clock::now()));
 }
 
-TEST(owner_lease_test, released_pool_is_free_and_not_asked_for_again) {
-  one.start();
-  tell(one);
+TEST(owner_lease_test, released_pool_is_free_and_not_acquired_again) {
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
-  spawn(context, one.release());
+  spawn(context, lease.release());
   run_until([&] { return store.revision_of(owner_lease::key_of("pool")) == 0; });
-  tell(one);
+  deliver(lease);
   context.run_for(std::chrono::milliseconds(400));
   LONGS_EQUAL(1, gained);
   LONGS_EQUAL(1, lost);
 }
 
-TEST(owner_lease_test, weak_node_asks_for_a_free_pool_after_the_strong_ones) {
+TEST(owner_lease_test, node_with_a_claim_delay_acquires_a_free_pool_later) {
   LONGS_EQUAL(0, claim_delay_of(0.5).count());
   LONGS_EQUAL(0, claim_delay_of(4).count());
   CHECK(claim_delay_of(0.12) > claim_delay_of(0.25));
@@ -279,21 +279,21 @@
   int weak_gained = 0;
   weak.on_change([&] { ++weak_gained; }, [] {});
   weak.start();
-  one.start();
-  tell(weak);
-  tell(one);
+  lease.start();
+  deliver(weak);
+  deliver(lease);
   run_until([&] { return gained + weak_gained > 0; });
   LONGS_EQUAL(1, gained);
   context.stop();
 }
 
-TEST(owner_lease_test, lost_answer_of_a_renewal_does_not_end_the_ownership) {
-  one.start();
-  tell(one);
+TEST(owner_lease_test, lost_answers_to_renewals_do_not_end_ownership) {
+  lease.start();
+  deliver(lease);
   run_until([&] { return gained == 1; });
   store.lose_renewals(2);
-  time_point const former_end = boot_clock::now() + milliseconds(1500);
-  run_until([&] { return boot_clock::now() > former_end; });
-  CHECK(one.holds(boot_clock::now()));
+  time_point const initial_expiry = boot_clock::now() + milliseconds(1500);
+  run_until([&] { return boot_clock::now() > initial_expiry; });
+  CHECK(lease.holds(boot_clock::now()));
   LONGS_EQUAL(0, lost);
 }
--- a/tests/unit/ownership/ownership_planner_test.cc
+++ b/tests/unit/ownership/ownership_planner_test.cc
@@ -52,14 +52,14 @@
   }
 };
 
-TEST(ownership_planner_test, free_resources_are_shared_among_live_nodes) {
+TEST(ownership_planner_test, free_resources_are_distributed_over_live_nodes) {
   auto const plan = plan_acquisitions(resources, self, members, owner_of);
   CHECK(plan.size() > 8);
   CHECK(plan.size() < 35);
-  for (acquisition const& wish : plan) LONGS_EQUAL(0, wish.expected);
+  for (acquisition const& planned : plan) LONGS_EQUAL(0, planned.expected);
 }
 
-TEST(ownership_planner_test, owners_in_the_zone_come_first) {
+TEST(ownership_planner_test, owners_in_the_resources_zone_are_preferred) {
   for (int index = 0; index < 20; ++index) {
     resource const wanted{"engine-" + std::to_string(index), "z2"};
     STRCMP_EQUAL("c", preferred_owner(wanted, self, members).c_str());
@@ -68,37 +68,37 @@
   CHECK_FALSE(preferred_owner(nowhere, self, members).empty());
 }
 
-TEST(ownership_planner_test, live_owner_is_left_alone) {
+TEST(ownership_planner_test, resource_of_a_live_owner_is_not_acquired) {
   auto const held = owner("b", 5, 40);
-  for (resource const& one : resources) owner_of[one.key] = &held;
+  for (resource const& wanted : resources) owner_of[wanted.key] = &held;
   CHECK(plan_acquisitions(resources, self, members, owner_of).empty());
 }
 
-TEST(ownership_planner_test, dead_owner_is_replaced_against_its_own_revision) {
+TEST(ownership_planner_test, dead_owner_is_replaced_at_its_records_revision) {
   auto const held = owner("b", 5, 40);
-  for (resource const& one : resources) owner_of[one.key] = &held;
+  for (resource const& wanted : resources) owner_of[wanted.key] = &held;
   kill("b");
   auto const plan = plan_acquisitions(resources, self, members, owner_of);
   CHECK_FALSE(plan.empty());
-  for (acquisition const& wish : plan) LONGS_EQUAL(40, wish.expected);
+  for (acquisition const& planned : plan) LONGS_EQUAL(40, planned.expected);
 }
 
-TEST(ownership_planner_test, unknown_owner_is_left_to_its_lease) {
+TEST(ownership_planner_test, resource_of_an_unknown_owner_is_not_acquired) {
   auto const held = owner("stranger", 1, 40);
-  for (resource const& one : resources) owner_of[one.key] = &held;
+  for (resource const& wanted : resources) owner_of[wanted.key] = &held;
   CHECK(plan_acquisitions(resources, self, members, owner_of).empty());
 }
 
-TEST(ownership_planner_test, own_record_of_an_earlier_process_is_replaced) {
+TEST(ownership_planner_test, record_of_this_nodes_previous_process_is_replaced) {
   auto const held = owner("a", 4, 40);
-  for (resource const& one : resources) owner_of[one.key] = &held;
+  for (resource const& wanted : resources) owner_of[wanted.key] = &held;
   CHECK_FALSE(plan_acquisitions(resources, self, members, owner_of).empty());
   CHECK_FALSE(is_self(held.record, self));
 }
 
-TEST(ownership_planner_test, node_with_too_much_gives_one_up_to_the_preferred_one) {
+TEST(ownership_planner_test, node_above_its_share_releases_a_resource_preferred_elsewhere) {
   std::vector<std::string> held;
-  for (resource const& one : resources) held.push_back(one.key);
+  for (resource const& wanted : resources) held.push_back(wanted.key);
   auto const released = plan_release(resources, held, self, members);
   CHECK(released.has_value());
   CHECK(preferred_owner({*released, ""}, self, members) != "a");
