--- a/src/relay/asking_nodes.cc
+++ b/src/relay/asking_nodes.cc
@@ -5,32 +5,32 @@
 namespace frostline::relay {
 namespace {
 
-/// A node asks again within 0.95 s (a question's wait and margin); one of these may be lost.
-constexpr milliseconds k_longest_silence{2000};
-/// Bounds what is remembered of nodes that are gone.
-constexpr std::size_t k_most_nodes = 2000;
+/// Nodes poll at least every 0.95 s (wait and answer margin); allows for one lost poll.
+constexpr milliseconds k_max_silence{2000};
+/// Bounds the memory for nodes that no longer run.
+constexpr std::size_t k_max_nodes = 2000;
 
 }  // namespace
 
-void asking_nodes::note(asking_node one, time_point now) {
-  if (one.node.empty()) return;
+void polling_nodes::note(polling_node node, time_point now) {
+  if (node.node.empty()) return;
   std::erase_if(nodes_,
-                [&](auto const& entry) { return now - entry.second.heard_at > k_longest_silence; });
-  if (nodes_.size() >= k_most_nodes && !nodes_.contains(one.node)) return;
-  std::string const name = one.node;
-  nodes_[name] = heard_node{std::move(one), now};
+                [&](auto const& entry) { return now - entry.second.heard_at > k_max_silence; });
+  if (nodes_.size() >= k_max_nodes && !nodes_.contains(node.node)) return;
+  std::string const name = node.node;
+  nodes_[name] = known_node{std::move(node), now};
 }
 
-std::optional<asking_node> asking_nodes::pick(std::string const& zone, time_point now) const {
-  auto const rank = [](asking_node const& one) {
-    return std::tuple(one.processor_share, -one.uptime);
+std::optional<polling_node> polling_nodes::pick(std::string const& zone, time_point now) const {
+  auto const rank = [](polling_node const& node) {
+    return std::tuple(node.processor_share, -node.uptime);
   };
-  asking_node const* best = nullptr;
-  for (auto const& [name, heard] : nodes_) {
+  polling_node const* best = nullptr;
+  for (auto const& [name, entry] : nodes_) {
     bool const usable =
-        heard.what.zone == zone && !heard.what.leaving && now - heard.heard_at <= k_longest_silence;
+        entry.node.zone == zone && !entry.node.leaving && now - entry.heard_at <= k_max_silence;
     if (!usable) continue;
-    if (best == nullptr || rank(heard.what) > rank(*best)) best = &heard.what;
+    if (best == nullptr || rank(entry.node) > rank(*best)) best = &entry.node;
   }
   if (best == nullptr) return std::nullopt;
   return *best;
--- a/src/relay/asking_nodes.h
+++ b/src/relay/asking_nodes.h
@@ -1,5 +1,5 @@
-/// @file Which nodes ask this one for changes: those that could take its place as their zone's
-/// relay when it stops. Pure.
+/// @file Nodes that poll this node for changes. When this node stops, one of them can replace it as
+/// the zone's relay. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -11,35 +11,36 @@
 
 namespace frostline::relay {
 
-/// What a node says of itself when it asks.
-struct asking_node {
+/// How a node describes itself in a poll.
+struct polling_node {
   std::string node;
   std::string zone;
-  /// Where other nodes reach it.
+  /// Address for calls from other nodes.
   endpoint address;
-  /// Share of a core that it may use.
+  /// Processor allowance in cores.
   double processor_share = 0;
-  /// For how long its process has run.
+  /// Time since its process started.
   milliseconds uptime{0};
-  /// It stops itself.
+  /// The node is shutting down.
   bool leaving = false;
 };
 
-class asking_nodes {
+class polling_nodes {
  public:
-  void note(asking_node one, time_point now);
-  /// The node of this zone that should relay next: the strongest; among equal ones the one that was
-  /// started last, since restarts in turn have passed it already. Nothing if no node asked lately.
-  std::optional<asking_node> pick(std::string const& zone, time_point now) const;
+  void note(polling_node node, time_point now);
+  /// Returns the node of `zone` that should become its next relay: the one with the largest
+  /// processor share, and the most recently started among equals, since a rolling restart has
+  /// already passed it. Returns nothing if no node has polled recently.
+  std::optional<polling_node> pick(std::string const& zone, time_point now) const;
 
  private:
-  struct heard_node {
-    asking_node what;
+  struct known_node {
+    polling_node node;
     time_point heard_at{};
   };
 
-  /// By name.
-  std::map<std::string, heard_node> nodes_;
+  /// Keyed by node name.
+  std::map<std::string, known_node> nodes_;
 };
 
 }  // namespace frostline::relay
--- a/src/relay/claim_timer.h
+++ b/src/relay/claim_timer.h
@@ -1,5 +1,5 @@
-/// @file When a node takes the place of its zone's relay: after the relay has failed this node for
-/// a while, at a random time, the strongest nodes first. Pure.
+/// @file Decides when a node claims the relay record of its zone: once the relay has been failing
+/// for a timeout, plus jitter, with weaker nodes delayed further. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,50 +12,50 @@
 namespace frostline::relay {
 
 struct claim_options {
-  /// A relay that fails for that long is replaced. More than a process takes to be back (a second),
-  /// since a restart of all nodes should not change the relays.
-  milliseconds patience{1500};
-  /// Random part: nodes of a zone that see the same failure claim this far apart, and hear of the
-  /// first claim (two calls, tens of milliseconds) before most of the others come.
-  milliseconds spread{1200};
-  /// A weak node claims that much later than the strongest.
+  /// A relay that has failed for this long is replaced. Longer than a process restart (about a
+  /// second), so that restarting all nodes does not change the relays.
+  milliseconds relay_timeout{1500};
+  /// Maximum random delay. Spreads the claims of nodes that see the same failure, so that most of
+  /// them learn of the first claim (two calls, tens of milliseconds) before making their own.
+  milliseconds jitter{1200};
+  /// Additional delay of a node with a small processor share.
   milliseconds claim_delay{0};
-  /// In addition when no relay at all answers: it may be this node that is cut off.
-  milliseconds isolation_patience{3000};
-  /// After a claim in vain.
-  milliseconds retry_pause{2000};
+  /// Additional delay while no relay answers, since this node itself may be partitioned.
+  milliseconds isolation_timeout{3000};
+  /// Pause after an unsuccessful claim, plus jitter.
+  milliseconds retry_backoff{2000};
 };
 
-/// What a node knows of its zone's relay at one moment.
+/// A node's current view of its zone's relay.
 struct relay_health {
-  /// Revision of the zone's record; 0: there is none.
+  /// Revision of the zone's relay record; 0 if there is none.
   kv::revision record = 0;
-  /// Whether the relay served this node the last time that it was asked, or is this node.
+  /// The relay served this node's last poll, or is this node.
   bool serves = false;
-  /// Whether another zone's relay serves this node.
-  bool others_serve = false;
-  /// Whether anybody serves this node, the store itself among them. While nobody does, it is mostly
-  /// the store that is out, and no relay is to blame.
-  bool anybody_serves = false;
+  /// The relay of another zone serves this node.
+  bool other_relay_serves = false;
+  /// Any peer, or the store itself, serves this node. If none does, the store is probably down and
+  /// replacing the relay would not help.
+  bool any_source_serves = false;
 };
 
 class claim_timer {
  public:
   claim_timer(claim_options options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  /// @return whether the zone's record should be claimed now, at the revision in `health`. The wait
-  /// begins anew when nobody serves: nodes must not claim all at once when the store is back.
+  /// Returns true if the zone's record should be claimed now, at the revision in `health`. The
+  /// wait restarts while no source serves, so that nodes do not all claim when the store recovers.
   bool is_due(relay_health const& health, time_point now);
-  /// A claim was tried in vain, or would have been.
+  /// Delays the next claim after an attempt.
   void postpone(time_point now);
 
  private:
-  milliseconds random_part();
+  milliseconds random_jitter();
 
   claim_options options_;
   std::mt19937_64 random_;
-  std::optional<time_point> due_;
-  /// The record that `due_` was set for.
+  std::optional<time_point> due_at_;
+  /// Revision of the record that `due_at_` was set for.
   kv::revision record_ = 0;
 };
 
--- a/src/relay/feed_times.h
+++ b/src/relay/feed_times.h
@@ -1,18 +1,19 @@
-/// @file Times that the parts of a record feed share.
+/// @file Timeouts shared by the files of the record feed.
 #pragma once
 
 #include "base/time.h"
 
 namespace frostline::relay {
 
-/// A question waits that long at a relay, and a relay that is silent beyond the margin has failed:
-/// under a second, half of what the strictest deployment allows a change to be in force.
-inline constexpr milliseconds k_wait{700};
-inline constexpr milliseconds k_margin{250};
-/// Relays of which none is sure of the servers, and of all else they are, are trusted to find
-/// another source for that long: an owner that does not answer (0.95 s) and a list of the store.
-inline constexpr milliseconds k_servers_patience{3000};
-/// Nodes whose relay was lost read servers' records themselves this far apart.
-inline constexpr milliseconds k_servers_spread{9000};
+/// How long a poll waits at a relay for a change, and how much later its reply may arrive before
+/// the relay counts as failed. Together under a second: half of the two seconds in which a change
+/// must take effect everywhere.
+inline constexpr milliseconds k_poll_wait{700};
+inline constexpr milliseconds k_answer_margin{250};
+/// How long relays that are authoritative for all topics but the servers are given to find another
+/// source of servers' records: an unresponsive pool owner (0.95 s) and then a list from the store.
+inline constexpr milliseconds k_servers_timeout{3000};
+/// Spreads the reads of servers' records by nodes that have lost their relay.
+inline constexpr milliseconds k_servers_jitter{9000};
 
 }  // namespace frostline::relay
--- a/src/relay/part_codec.cc
+++ b/src/relay/part_codec.cc
@@ -2,21 +2,21 @@
 
 namespace frostline::relay {
 
-std::vector<std::unique_ptr<rpc::GroupPartT>> write_parts(group_parts const& parts) {
-  std::vector<std::unique_ptr<rpc::GroupPartT>> written;
-  for (auto const& [group, one_in] : parts) {
+std::vector<std::unique_ptr<rpc::GroupPartT>> encode_subsets(group_subsets const& subsets) {
+  std::vector<std::unique_ptr<rpc::GroupPartT>> encoded;
+  for (auto const& [group, divisor] : subsets) {
     auto part = std::make_unique<rpc::GroupPartT>();
     part->group = group;
-    part->one_in = one_in;
-    written.push_back(std::move(part));
+    part->one_in = divisor;
+    encoded.push_back(std::move(part));
   }
-  return written;
+  return encoded;
 }
 
-group_parts read_parts(std::vector<std::unique_ptr<rpc::GroupPartT>> const& parts) {
-  group_parts read;
-  for (auto const& part : parts) read[part->group] = part->one_in;
-  return read;
+group_subsets decode_subsets(std::vector<std::unique_ptr<rpc::GroupPartT>> const& subsets) {
+  group_subsets decoded;
+  for (auto const& part : subsets) decoded[part->group] = part->one_in;
+  return decoded;
 }
 
 }  // namespace frostline::relay
--- a/src/relay/part_codec.h
+++ b/src/relay/part_codec.h
@@ -1,4 +1,4 @@
-/// @file Parts of groups of records as nodes tell them to each other.
+/// @file Converts group subsets to and from their form in polls between nodes.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace frostline::relay {
 
-std::vector<std::unique_ptr<rpc::GroupPartT>> write_parts(group_parts const& parts);
-group_parts read_parts(std::vector<std::unique_ptr<rpc::GroupPartT>> const& parts);
+std::vector<std::unique_ptr<rpc::GroupPartT>> encode_subsets(group_subsets const& subsets);
+group_subsets decode_subsets(std::vector<std::unique_ptr<rpc::GroupPartT>> const& subsets);
 
 }  // namespace frostline::relay
--- a/src/relay/peer_picker.cc
+++ b/src/relay/peer_picker.cc
@@ -17,7 +17,7 @@
       others.push_back(&relay);
     }
   }
-  // Nodes of a zone without a relay spread over the relays of all other zones.
+  // Rendezvous hashing spreads the nodes of a zone without a relay over the other zones' relays.
   std::sort(others.begin(), others.end(), [&](zone_relay const* left, zone_relay const* right) {
     return rendezvous_weight(options_.node, left->node) >
            rendezvous_weight(options_.node, right->node);
--- a/src/relay/peer_picker.h
+++ b/src/relay/peer_picker.h
@@ -1,6 +1,5 @@
-/// @file Which node to ask next for the newest records: the relay of the own zone, then those of
-/// other zones, then the addresses that the settings name. Nodes that failed are passed over for a
-/// while. Pure.
+/// @file Selects the peer to poll next: the relay of this node's zone, then relays of other zones,
+/// then the configured seeds. Peers that failed are skipped for a backoff. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -14,40 +13,41 @@
 
 namespace frostline::relay {
 
-struct picker_options {
+struct peer_picker_options {
   std::string node;
   std::string zone;
-  /// This node's own address, which is never asked.
+  /// This node's own address, which is never selected.
   endpoint self;
-  /// Addresses that the settings name; any of them may be down.
+  /// Configured addresses of some nodes; any of them may be down.
   std::vector<endpoint> seeds;
-  /// For that long a node that did not answer is not asked again: each question to it costs the
-  /// time in which a silent node is noticed.
-  milliseconds failure_pause{1500};
-  /// For that long a node that was not sure is not asked again: it says so at once.
-  milliseconds doubt_pause{500};
+  /// How long a peer that did not answer is skipped. Each poll of an unresponsive peer costs a full
+  /// timeout.
+  milliseconds failure_backoff{1500};
+  /// How long a peer that was not authoritative is skipped. Shorter, since such a peer answers at
+  /// once.
+  milliseconds not_authoritative_backoff{500};
 };
 
 class peer_picker {
  public:
-  explicit peer_picker(picker_options options) : options_(std::move(options)) {}
+  explicit peer_picker(peer_picker_options options) : options_(std::move(options)) {}
 
-  /// Everybody that could be asked, the best first, whether they failed or not.
+  /// All peers in order of preference, including those that failed.
   std::vector<endpoint> candidates(zone_relays const& relays) const;
-  /// The best one that has not just failed; nothing if all have.
+  /// Returns the preferred peer that is not skipped, or nothing if all are.
   std::optional<endpoint> pick(zone_relays const& relays, time_point now) const;
-  /// It did not answer.
+  /// The peer did not answer.
   void note_failure(endpoint const& peer, time_point now) {
-    avoided_until_[peer] = now + options_.failure_pause;
+    avoided_until_[peer] = now + options_.failure_backoff;
   }
-  /// It answered, and may miss changes.
-  void note_doubt(endpoint const& peer, time_point now) {
-    avoided_until_[peer] = now + options_.doubt_pause;
+  /// The peer answered, but its records may be incomplete.
+  void note_not_authoritative(endpoint const& peer, time_point now) {
+    avoided_until_[peer] = now + options_.not_authoritative_backoff;
   }
   void note_success(endpoint const& peer) { avoided_until_.erase(peer); }
 
  private:
-  picker_options options_;
+  peer_picker_options options_;
   std::map<endpoint, time_point> avoided_until_;
 };
 
--- a/src/relay/peer_poll.cc
+++ b/src/relay/peer_poll.cc
@@ -8,10 +8,10 @@
 namespace frostline::relay {
 namespace {
 
-/// Older views count as this old; longer times would not fit the clock's unit.
-constexpr milliseconds k_longest_age{24 * 3600 * 1000};
+/// Ages are capped at this value; larger ones could overflow the clock's unit.
+constexpr milliseconds k_max_age{24 * 3600 * 1000};
 
-kv::watch_event read_change(rpc::RecordChangeT const& change) {
+kv::watch_event decode_change(rpc::RecordChangeT const& change) {
   kv::watch_event event;
   event.deleted = change.deleted;
   event.entry.key = change.key;
@@ -21,61 +21,62 @@
   return event;
 }
 
-/// @param node this node, whose parts of the records were asked for.
-void take_changes(rpc::TopicChangesT const& told, std::string const& node, topic_views& views) {
+/// @param node name of this node, whose subsets of the records were requested.
+void apply_changes(rpc::TopicChangesT const& update, std::string const& node, topic_views& views) {
   record_selection const selected =
-      told.selected ? record_selection(node, read_parts(told.parts)) : record_selection();
-  if (told.whole) {
+      update.selected ? record_selection(node, decode_subsets(update.parts)) : record_selection();
+  if (update.whole) {
     kv::range_answer all;
-    all.store_revision = told.store_revision;
-    for (auto const& change : told.changes) all.entries.push_back(read_change(*change).entry);
-    views.take_snapshot(told.topic, all, selected);
+    all.store_revision = update.store_revision;
+    for (auto const& change : update.changes) all.entries.push_back(decode_change(*change).entry);
+    views.take_snapshot(update.topic, all, selected);
     return;
   }
-  for (auto const& change : told.changes) views.take_event(told.topic, read_change(*change));
-  // Changes of what else this view holds were not told.
-  if (selected.covers(views.view(told.topic).held())) {
-    views.advance(told.topic, told.store_revision);
+  for (auto const& change : update.changes) views.take_event(update.topic, decode_change(*change));
+  // Otherwise changes to other records of this view may be missing from the reply.
+  if (selected.covers(views.view(update.topic).selection())) {
+    views.advance(update.topic, update.store_revision);
   }
 }
 
-std::unique_ptr<rpc::TopicPositionT> write_position(topic one, poll_request const& request,
-                                                    record_view const& view) {
+std::unique_ptr<rpc::TopicPositionT> encode_position(topic topic_id, poll_request const& request,
+                                                     record_view const& view) {
   auto position = std::make_unique<rpc::TopicPositionT>();
-  position->topic = one;
-  record_selection const wanted = one == topic::SERVERS ? request.servers : record_selection();
-  position->after = view.held().covers(wanted) ? view.at() : 0;
+  position->topic = topic_id;
+  record_selection const wanted = topic_id == topic::SERVERS ? request.servers : record_selection();
+  position->after = view.selection().covers(wanted) ? view.at() : 0;
   position->selected = !wanted.is_everything();
-  position->parts = write_parts(wanted.parts());
-  position->exact = request.exact_parts;
-  position->patient = one == topic::SERVERS && request.patient_for_servers;
+  position->parts = encode_subsets(wanted.subsets());
+  position->exact = request.exact_subsets;
+  position->patient = topic_id == topic::SERVERS && request.wait_if_servers_not_authoritative;
   return position;
 }
 
-kv::revision newest_of(rpc::TopicChangesT const& told) {
+kv::revision newest_revision(rpc::TopicChangesT const& update) {
   kv::revision newest = 0;
-  for (auto const& change : told.changes) newest = std::max(newest, change->revision);
+  for (auto const& change : update.changes) newest = std::max(newest, change->revision);
   return newest;
 }
 
-/// Takes a reply over. @return what the other node was not sure of, as text; empty: nothing.
-std::string take_reply(rpc::PollReplyT const& reply, poll_request const& request, time_point asked,
-                       topic_views& views) {
+/// Applies a reply to the views. Returns the names of the topics for which the peer was not
+/// authoritative, or an empty text.
+std::string apply_reply(rpc::PollReplyT const& reply, poll_request const& request,
+                        time_point sent_at, topic_views& views) {
   milliseconds const waited = std::min(milliseconds(reply.waited_ms), request.wait);
-  // Before the changes, since it says what a change means.
-  auto const back = std::min(milliseconds(reply.store_back_ms_ago), k_longest_age);
-  if (back < k_longest_age) views.note_store_back(asked + waited - back);
+  // Before the changes, since listeners need the recovery time to interpret them.
+  auto const since_recovery = std::min(milliseconds(reply.store_back_ms_ago), k_max_age);
+  if (since_recovery < k_max_age) views.note_store_recovery(sent_at + waited - since_recovery);
   std::string doubts;
-  for (auto const& told : reply.topics) {
-    if (index_of(told->topic) >= k_topics.size()) continue;
-    bool const wanted = told->topic != topic::SERVERS || request.takes_servers();
-    if (wanted) take_changes(*told, request.node, views);
-    // The time on the way there is not known; the answer is at least as new as this.
-    auto const age = std::min(milliseconds(told->confirmed_ms_ago), k_longest_age);
-    views.confirm(told->topic, asked + waited - age);
-    if (told->sure) continue;
+  for (auto const& update : reply.topics) {
+    if (index_of(update->topic) >= k_topics.size()) continue;
+    bool const wanted = update->topic != topic::SERVERS || request.accept_servers();
+    if (wanted) apply_changes(*update, request.node, views);
+    // The network delay is unknown, so this is a lower bound.
+    auto const age = std::min(milliseconds(update->confirmed_ms_ago), k_max_age);
+    views.confirm(update->topic, sent_at + waited - age);
+    if (update->sure) continue;
     if (!doubts.empty()) doubts += ", ";
-    doubts += rpc::EnumNameRecordTopic(told->topic);
+    doubts += rpc::EnumNameRecordTopic(update->topic);
   }
   return doubts;
 }
@@ -92,10 +93,10 @@
   call.uptime_ms = static_cast<std::uint64_t>(request.uptime.count());
   call.leaving = request.leaving;
   call.wait_ms = static_cast<std::uint64_t>(request.wait.count());
-  for (topic const one : request.topics) {
-    call.positions.push_back(write_position(one, request, views.view(one)));
+  for (topic const topic_id : request.topics) {
+    call.positions.push_back(encode_position(topic_id, request, views.view(topic_id)));
   }
-  time_point const asked = boot_clock::now();
+  time_point const sent_at = boot_clock::now();
   auto reply = co_await rpc::call<rpc::PollCallT, rpc::PollReplyT>(
       transport, std::move(peer), "RelayService", "Poll", call,
       request.wait + request.answer_margin);
@@ -104,15 +105,18 @@
     failed.cause = reply.error().detail;
     co_return failed;
   }
-  std::string doubts = take_reply(reply.value(), request, asked, views);
-  bool const whole = reply.value().topics.size() == request.topics.size();
+  std::string doubts = apply_reply(reply.value(), request, sent_at, views);
+  bool const all_topics_answered = reply.value().topics.size() == request.topics.size();
   poll_result result;
-  result.outcome = whole && doubts.empty() ? poll_outcome::sure : poll_outcome::not_sure;
-  result.doubts_servers_only = whole && doubts == rpc::EnumNameRecordTopic(topic::SERVERS);
-  if (result.outcome == poll_outcome::not_sure) result.cause = "not sure of " + doubts;
-  for (auto const& told : reply.value().topics) {
-    if (index_of(told->topic) >= k_topics.size()) continue;
-    result.newest_changes[index_of(told->topic)] = newest_of(*told);
+  result.outcome = all_topics_answered && doubts.empty() ? poll_outcome::authoritative
+                                                         : poll_outcome::not_authoritative;
+  result.only_servers_not_authoritative =
+      all_topics_answered && doubts == rpc::EnumNameRecordTopic(topic::SERVERS);
+  if (result.outcome == poll_outcome::not_authoritative)
+    result.cause = "not authoritative for " + doubts;
+  for (auto const& update : reply.value().topics) {
+    if (index_of(update->topic) >= k_topics.size()) continue;
+    result.newest_changes[index_of(update->topic)] = newest_revision(*update);
   }
   co_return result;
 }
--- a/src/relay/peer_poll.h
+++ b/src/relay/peer_poll.h
@@ -1,4 +1,4 @@
-/// @file One question to another node for what its views hold beyond this node's own.
+/// @file Polls another node for records that are newer than this node's views.
 #pragma once
 
 #include <array>
@@ -13,48 +13,47 @@
 
 namespace frostline::relay {
 
-/// sure: nothing was missing at the other node, as far as it could tell. not_sure: what it told is
-/// used, but there may be more. failed: no answer.
-enum class poll_outcome { sure, not_sure, failed };
+/// authoritative: as far as the peer knows, its records were complete and current.
+/// not_authoritative: the peer's records were applied, but may be incomplete. failed: no reply.
+enum class poll_outcome { authoritative, not_authoritative, failed };
 
 struct poll_result {
   poll_outcome outcome = poll_outcome::failed;
-  /// Not sure of the servers, and of all else it is.
-  bool doubts_servers_only = false;
-  /// Why it failed, or why the other node was not sure.
+  /// The peer is authoritative for all topics except the servers.
+  bool only_servers_not_authoritative = false;
+  /// Why the poll failed, or which topics the peer was not authoritative for.
   std::string cause;
-  /// Revision of the newest change that it told, by topic; 0: none.
+  /// Newest revision among the changes received for each topic; 0 if there were none.
   std::array<kv::revision, k_topics.size()> newest_changes{};
 };
 
 struct poll_request {
-  /// Identifier of this node.
   std::string node;
-  /// Where other nodes reach it.
+  /// This node's address for calls from other nodes.
   endpoint self;
   std::string zone;
-  /// Share of a core that this node may use.
+  /// Processor allowance in cores.
   double processor_share = 0;
   milliseconds uptime{0};
-  /// This node stops.
+  /// This node is shutting down.
   bool leaving = false;
   std::vector<topic> topics;
-  /// Servers' records that are asked for; all by default.
+  /// Servers' records to request; all by default.
   record_selection servers;
-  /// The parts of `servers` stay as they are; else the other node fits them to the groups' sizes.
-  bool exact_parts = false;
-  /// Asked when the answer is there: whether servers' records are still wanted from others. The
-  /// records that this node follows at the store by then are more.
-  std::function<bool()> takes_servers;
-  /// Wait for changes also at a node that is not sure of its servers.
-  bool patient_for_servers = false;
-  /// How long the other node may wait for a change.
+  /// The peer must keep the subsets of `servers`; otherwise it adjusts them to the groups' sizes.
+  bool exact_subsets = false;
+  /// Called when the reply arrives. Returns false if servers' records in it must be dropped because
+  /// this node has meanwhile started to follow them, more completely, at the store.
+  std::function<bool()> accept_servers;
+  /// Wait for changes even if the peer is not authoritative for the servers.
+  bool wait_if_servers_not_authoritative = false;
+  /// How long the peer may wait for a change before it replies.
   milliseconds wait{0};
-  /// Beyond that, a node that does not answer counts as failed.
+  /// Time allowed beyond `wait` for the reply to arrive.
   milliseconds answer_margin{0};
 };
 
-/// Asks `peer` and takes over what it tells.
+/// Polls `peer` and applies the reply to `views`.
 awaitable<poll_result> poll_peer(http::client& transport, endpoint peer, poll_request request,
                                  topic_views& views);
 
--- a/src/relay/poll_service.cc
+++ b/src/relay/poll_service.cc
@@ -7,21 +7,21 @@
 namespace frostline::relay {
 namespace {
 
-/// Told of what was never confirmed; any longer time is of no more use.
-constexpr milliseconds k_longest_age{24 * 3600 * 1000};
+/// Reported for topics that were never confirmed; larger ages are capped at this value.
+constexpr milliseconds k_max_age{24 * 3600 * 1000};
 
 std::uint64_t milliseconds_since(time_point then, time_point now) {
-  if (then < now - k_longest_age) return static_cast<std::uint64_t>(k_longest_age.count());
+  if (then < now - k_max_age) return static_cast<std::uint64_t>(k_max_age.count());
   auto const spent = std::chrono::duration_cast<milliseconds>(now - then);
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, spent.count()));
 }
 
-/// A topic that a newer version of this program may know.
+/// Returns true for a topic that this version does not know; nodes of a newer version may send it.
 bool is_unknown(std::unique_ptr<rpc::TopicPositionT> const& position) {
   return index_of(position->topic) >= k_topics.size();
 }
 
-std::unique_ptr<rpc::RecordChangeT> write_change(kv::watch_event const& event) {
+std::unique_ptr<rpc::RecordChangeT> encode_change(kv::watch_event const& event) {
   auto change = std::make_unique<rpc::RecordChangeT>();
   change->key = event.entry.key;
   change->value.assign(event.entry.value.begin(), event.entry.value.end());
@@ -33,98 +33,101 @@
 
 }  // namespace
 
-poll_service::question poll_service::read_question(rpc::TopicPositionT const& position,
-                                                   std::string const& node) const {
+poll_service::topic_query poll_service::parse_position(rpc::TopicPositionT const& position,
+                                                       std::string const& node) const {
   record_view const& view = views_.view(position.topic);
-  question one;
-  one.about = position.topic;
-  one.after = position.after;
+  topic_query query;
+  query.topic_id = position.topic;
+  query.after = position.after;
   if (position.selected) {
-    group_parts const asked = read_parts(position.parts);
-    group_parts fitted;
-    for (auto const& [group, one_in] : asked) {
-      std::uint32_t const kept = std::max(one_in, k_whole_group);
-      fitted[group] = position.exact ? kept : suitable_part(one_in, view.group_size(group));
+    group_subsets const requested = decode_subsets(position.parts);
+    group_subsets adjusted;
+    for (auto const& [group, one_in] : requested) {
+      std::uint32_t const divisor = std::max(one_in, k_whole_group);
+      adjusted[group] = position.exact ? divisor : choose_subset(one_in, view.group_size(group));
     }
-    // What the asking node holds is another part of the records.
-    if (asked != fitted) one.after = 0;
-    one.wanted = record_selection(node, std::move(fitted));
+    // The polling node holds a different subset, so it needs a snapshot.
+    if (requested != adjusted) query.after = 0;
+    query.wanted = record_selection(node, std::move(adjusted));
   }
-  one.covered = view.held().covers(one.wanted);
-  one.patient = position.patient;
-  return one;
+  query.covered = view.selection().covers(query.wanted);
+  query.wait_if_not_authoritative = position.patient;
+  return query;
 }
 
-bool poll_service::can_wait(question const& one) const {
-  record_view const& view = views_.view(one.about);
-  if (!view.is_loaded() && one.after == 0) return true;
-  if (!one.covered) return one.patient;
-  return (one.patient || is_sure_(one.about)) && !view.has_news(one.after, one.wanted);
+bool poll_service::can_wait(topic_query const& query) const {
+  record_view const& view = views_.view(query.topic_id);
+  if (!view.is_loaded() && query.after == 0) return true;
+  if (!query.covered) return query.wait_if_not_authoritative;
+  return (query.wait_if_not_authoritative || is_authoritative_(query.topic_id)) &&
+         !view.has_changes(query.after, query.wanted);
 }
 
 bool poll_service::can_wait(rpc::PollCallT const& call) const {
   return std::all_of(call.positions.begin(), call.positions.end(), [&](auto const& position) {
-    return can_wait(read_question(*position, call.node));
+    return can_wait(parse_position(*position, call.node));
   });
 }
 
-void poll_service::note_asking(rpc::PollCallT const& call) {
+void poll_service::note_polling_node(rpc::PollCallT const& call) {
   auto const address = parse_endpoint(call.address);
   if (!address) return;
-  asking_node one;
-  one.node = call.node;
-  one.zone = call.zone;
-  one.address = *address;
-  one.processor_share = call.processor_share;
-  one.uptime = milliseconds(call.uptime_ms);
-  one.leaving = call.leaving;
-  asking_.note(std::move(one), boot_clock::now());
+  polling_node node;
+  node.node = call.node;
+  node.zone = call.zone;
+  node.address = *address;
+  node.processor_share = call.processor_share;
+  node.uptime = milliseconds(call.uptime_ms);
+  node.leaving = call.leaving;
+  polling_nodes_.note(std::move(node), boot_clock::now());
 }
 
-void poll_service::note_newer(rpc::PollCallT const& call) const {
-  auto const asking = parse_endpoint(call.address);
-  if (!on_newer_ || !asking) return;
-  bool const newer =
+void poll_service::note_peer_ahead(rpc::PollCallT const& call) const {
+  auto const peer = parse_endpoint(call.address);
+  if (!on_peer_ahead_ || !peer) return;
+  bool const ahead =
       std::any_of(call.positions.begin(), call.positions.end(), [this](auto const& position) {
-        return position->after > views_.view(position->topic).at() && !is_sure_(position->topic);
+        return position->after > views_.view(position->topic).at() &&
+               !is_authoritative_(position->topic);
       });
-  if (newer) on_newer_(*asking);
+  if (ahead) on_peer_ahead_(*peer);
 }
 
-rpc::TopicChangesT poll_service::write_changes(question const& one) {
-  rpc::TopicChangesT told;
-  told.topic = one.about;
-  told.confirmed_ms_ago = milliseconds_since(views_.confirmed_at(one.about), boot_clock::now());
-  if (!one.covered) return told;
-  told.sure = is_sure_(one.about);
-  record_delta const delta = views_.view(one.about).since(one.after, one.wanted);
-  told.whole = delta.whole;
-  told.store_revision = delta.at;
-  told.selected = !one.wanted.is_everything();
-  told.parts = write_parts(one.wanted.parts());
+rpc::TopicChangesT poll_service::encode_changes(topic_query const& query) {
+  rpc::TopicChangesT topic_changes;
+  topic_changes.topic = query.topic_id;
+  topic_changes.confirmed_ms_ago =
+      milliseconds_since(views_.confirmed_at(query.topic_id), boot_clock::now());
+  if (!query.covered) return topic_changes;
+  topic_changes.sure = is_authoritative_(query.topic_id);
+  record_delta const delta = views_.view(query.topic_id).since(query.after, query.wanted);
+  topic_changes.whole = delta.is_snapshot;
+  topic_changes.store_revision = delta.at;
+  topic_changes.selected = !query.wanted.is_everything();
+  topic_changes.parts = encode_subsets(query.wanted.subsets());
   for (kv::watch_event const& change : delta.changes) {
-    told.changes.push_back(write_change(change));
+    topic_changes.changes.push_back(encode_change(change));
   }
-  if (delta.whole) {
-    ++whole_answers_;
-    whole_records_ += delta.changes.size();
+  if (delta.is_snapshot) {
+    ++snapshot_answers_;
+    snapshot_records_ += delta.changes.size();
   }
-  return told;
+  return topic_changes;
 }
 
 awaitable<rpc::PollReplyT> poll_service::answer(rpc::PollCallT call) {
   std::erase_if(call.positions, is_unknown);
-  note_asking(call);
-  note_newer(call);
+  note_polling_node(call);
+  note_peer_ahead(call);
   time_point const begin = boot_clock::now();
-  time_point const deadline = begin + std::min(milliseconds(call.wait_ms), k_longest_wait);
+  time_point const deadline = begin + std::min(milliseconds(call.wait_ms), k_max_wait);
   while (boot_clock::now() < deadline && can_wait(call)) co_await changed_.wait_until(deadline);
   rpc::PollReplyT reply;
   reply.waited_ms = milliseconds_since(begin, boot_clock::now());
   reply.store_back_ms_ago = milliseconds_since(views_.store_recovered_at(), boot_clock::now());
   for (auto const& position : call.positions) {
     reply.topics.push_back(
-        std::make_unique<rpc::TopicChangesT>(write_changes(read_question(*position, call.node))));
+        std::make_unique<rpc::TopicChangesT>(encode_changes(parse_position(*position, call.node))));
   }
   ++answered_;
   co_return reply;
--- a/src/relay/poll_service.h
+++ b/src/relay/poll_service.h
@@ -1,4 +1,4 @@
-/// @file Tells other nodes what this node's views hold beyond what they know.
+/// @file Answers polls: sends other nodes the records that they lack from this node's views.
 #pragma once
 
 #include <cstdint>
@@ -15,57 +15,61 @@
 
 class poll_service {
  public:
-  /// Longest time that a call waits, whatever it asks for.
-  static constexpr milliseconds k_longest_wait{2000};
+  /// Upper bound on the wait that a call may request.
+  static constexpr milliseconds k_max_wait{2000};
 
-  /// @param is_sure whether nothing of a topic is missing here, as far as this node can tell.
+  /// @param is_authoritative returns true if, as far as this node knows, its records of a topic are
+  /// complete and current.
   poll_service(asio::io_context& context, topic_views const& views,
-               std::function<bool(topic)> is_sure)
-      : views_(views), is_sure_(std::move(is_sure)), changed_(context) {}
+               std::function<bool(topic)> is_authoritative)
+      : views_(views), is_authoritative_(std::move(is_authoritative)), changed_(context) {}
 
-  /// Answers at once if there is something to tell, or if this node is not sure; else it waits. It
-  /// also waits while neither node knows a topic: a node that starts is asked by all others.
+  /// Answers immediately if there are changes or this node is not authoritative; otherwise waits
+  /// for a change. Also waits while neither node has loaded a topic, since a starting seed is
+  /// polled by all others.
   awaitable<rpc::PollReplyT> answer(rpc::PollCallT call);
-  /// Runs with the address of a node that asks and knows more of a topic than this node, which is
-  /// not sure of it.
-  void on_newer(std::function<void(endpoint)> listener) { on_newer_ = std::move(listener); }
-  /// To be called when a view has changed, or whether this node is sure.
+  /// Called with the address of a polling node that is ahead of this node on a topic for which this
+  /// node is not authoritative.
+  void on_peer_ahead(std::function<void(endpoint)> listener) {
+    on_peer_ahead_ = std::move(listener);
+  }
+  /// Must be called when a view changes or this node gains or loses authority for a topic.
   void notify() { changed_.notify_all(); }
   void add_methods(rpc::dispatcher& methods);
   std::uint64_t answered() const { return answered_; }
-  /// Answers that held all wanted records of a topic, and those records.
-  std::uint64_t snapshot_answers() const { return whole_answers_; }
-  std::uint64_t snapshot_records() const { return whole_records_; }
-  asking_nodes const& asking() const { return asking_; }
+  /// Snapshots of a topic that were sent, and the records in them.
+  std::uint64_t snapshot_answers() const { return snapshot_answers_; }
+  std::uint64_t snapshot_records() const { return snapshot_records_; }
+  polling_nodes const& polled_by() const { return polling_nodes_; }
 
  private:
-  void note_asking(rpc::PollCallT const& call);
-  void note_newer(rpc::PollCallT const& call) const;
-  /// What a position asks for, fitted to what this node holds.
-  struct question {
-    topic about{};
+  void note_polling_node(rpc::PollCallT const& call);
+  void note_peer_ahead(rpc::PollCallT const& call) const;
+  /// A requested position, with its subsets adjusted to this node's view.
+  struct topic_query {
+    topic topic_id{};
     record_selection wanted;
-    /// Revision up to which the asking node holds all that is wanted.
+    /// Revision up to which the polling node holds the wanted records.
     kv::revision after = 0;
-    /// Whether this node holds all that is wanted.
+    /// This node holds all wanted records.
     bool covered = false;
-    /// The asking node knows already that this one is not sure.
-    bool patient = false;
+    /// The polling node prefers waiting to an immediate non-authoritative answer.
+    bool wait_if_not_authoritative = false;
   };
 
-  question read_question(rpc::TopicPositionT const& position, std::string const& node) const;
-  bool can_wait(question const& one) const;
+  topic_query parse_position(rpc::TopicPositionT const& position, std::string const& node) const;
+  bool can_wait(topic_query const& query) const;
   bool can_wait(rpc::PollCallT const& call) const;
-  rpc::TopicChangesT write_changes(question const& one);
+  rpc::TopicChangesT encode_changes(topic_query const& query);
 
   topic_views const& views_;
-  std::function<bool(topic)> is_sure_;
+  std::function<bool(topic)> is_authoritative_;
   async_condition changed_;
-  std::function<void(endpoint)> on_newer_;
+  std::function<void(endpoint)> on_peer_ahead_;
   std::uint64_t answered_ = 0;
-  std::uint64_t whole_answers_ = 0;
-  std::uint64_t whole_records_ = 0;
-  asking_nodes asking_;
+  std::uint64_t snapshot_answers_ = 0;
+  std::uint64_t snapshot_records_ = 0;
+  polling_nodes polling_nodes_;
 };
 
 }  // namespace frostline::relay
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -1,10 +1,10 @@
-/// @file Keeps this node's views of the record store's topics current and passes them on. Most
-/// nodes ask the relay of their zone; relays follow the store. So calls to the store grow with the
-/// zones, not with the nodes.
+/// @file Keeps this node's views of the record store's topics current and serves them to peers.
+/// Relays follow the store; all other nodes poll the relay of their zone, so that the load on the
+/// store grows with the number of zones instead of nodes.
 ///
-/// A node that no relay answers follows the store itself until one does. Whatever the source, a
-/// view never goes back, so sources can change at any time, and an answer of a node that is not
-/// sure of its own view is used all the same.
+/// A node that no relay answers follows the store itself until one does. A view never replaces a
+/// record by an older revision, so the source can change at any time, and even records from a
+/// non-authoritative peer are applied.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +30,9 @@
 
 namespace frostline::relay {
 
-/// standby: asks relays; relay: its zone's record names it; direct: no relay answers, it follows
-/// the store for itself. standby -> relay, direct; direct -> standby, relay; relay -> standby.
+/// standby: polls relays. relay: named by the record of its zone, follows the store. direct:
+/// follows the store only for itself, since no relay serves it. Transitions: standby -> relay,
+/// direct; direct -> standby, relay; relay -> standby.
 enum class feed_role { standby, relay, direct };
 
 std::string_view to_text(feed_role role);
@@ -39,127 +40,136 @@
 struct feed_options {
   std::string node;
   std::string zone;
-  /// Where other nodes reach this one.
+  /// This node's address for calls from other nodes.
   endpoint self;
-  /// Addresses of some nodes, of which any may be down.
+  /// Configured addresses of some nodes; any of them may be down.
   std::vector<endpoint> seeds;
   topic_prefixes prefixes;
-  /// Whom servers' records concern; null: everybody.
+  /// Reads the traits by which servers' records are selected; null: all nodes hold all records.
   trait_reader servers_traits;
-  /// Groups of servers that this node's calls need, nothing while that is not known. Null: all.
+  /// Returns the groups of servers that this node's calls need, or nothing while they are unknown;
+  /// null: all groups.
   std::function<std::optional<std::set<std::string>>()> wanted_servers;
-  /// Share of a core that this node may use.
+  /// Processor allowance in cores.
   double processor_share = 0;
-  /// A weak node claims its zone's record that much later.
+  /// Additional delay before claiming the zone's record, for nodes with a small processor share.
   milliseconds claim_delay{0};
 };
 
-/// What the feed counts, since the process began.
+/// Counters since the start of the process.
 struct feed_counters {
   std::uint64_t polls_sent = 0;
   std::uint64_t polls_failed = 0;
   std::uint64_t polls_not_authoritative = 0;
   std::uint64_t claims = 0;
+  /// Changes to the direct role.
   std::uint64_t store_fallbacks = 0;
 };
 
 class record_feed {
  public:
-  /// @param find_owner where another node that owns a pool can be reached: it alone follows what
-  /// servers load.
+  /// @param find_owner returns the address of another node that owns a pool. Only owners follow the
+  /// servers' load at the store.
   record_feed(asio::io_context& context, kv::record_store& store, http::client& transport,
               feed_options options, std::function<std::optional<endpoint>()> find_owner);
 
-  /// Who hears of a topic's changes; to be set before start.
-  void listen(topic one, kv::follower_callbacks listener);
-  /// Runs when the store answers this node again after a silence, or a watch got no answer: watches
-  /// that others began before may be dead without showing it. Only nodes that follow a topic at the
-  /// store notice.
-  void on_store_recovered(std::function<void()> listener) { store_back_ = std::move(listener); }
+  /// Sets the listener for changes of a topic. Must be called before start.
+  void listen(topic topic_id, kv::follower_callbacks listener);
+  /// Sets a callback for when the store becomes reachable again or a watch got no answer, since
+  /// other watches of this process may then be dead without an error. Called only while this node
+  /// follows a topic at the store.
+  void on_store_recovered(std::function<void()> listener) {
+    on_store_recovered_ = std::move(listener);
+  }
   void start();
-  /// Registers what other nodes call.
+  /// Registers the RPC methods for other nodes.
   void add_methods(rpc::dispatcher& methods) { service_.add_methods(methods); }
-  /// The owner of a pool follows all servers' records itself, with what they load.
+  /// Sets whether this node owns a pool. An owner follows all servers' records, including their
+  /// load, at the store.
   void set_owner(bool owner);
-  /// To be called when the groups of servers that this node's calls need may have changed.
+  /// Must be called when the result of `wanted_servers` may have changed.
   void note_wanted_servers() { role_changed_.notify_all(); }
-  /// This process stood still: what was going on may be dead.
+  /// Reads all followed topics again, for example after the process was suspended.
   void resynchronize(std::string_view cause) { source_.resynchronize(cause); }
-  /// Answers as not sure from now on. If this node is its zone's relay, the record names the best
-  /// of the nodes that ask it from now on, or is freed if there is none. The node itself still
-  /// hears of changes.
+  /// Prepares for shutdown: answers polls as non-authoritative and, if this node is its zone's
+  /// relay, hands the record over to the best polling node, or deletes it if there is none. This
+  /// node's own views stay current.
   awaitable<void> leave();
 
-  /// Whether a source that was sure has told everything, or nobody else is likely to.
+  /// Returns true once the views come from an authoritative source, or the wait for one has timed
+  /// out.
   bool is_trusted(time_point now) const;
-  /// When the store last answered again after a silence; time_point::min(): it was never silent.
+  /// When the store last became reachable again; time_point::min() if it never was unreachable.
   time_point store_recovered_at() const { return views_.store_recovered_at(); }
   feed_role role() const { return role_; }
-  /// Relays of some zones, in the order of the zones' names: the same at all nodes that know the
-  /// same records.
-  std::vector<endpoint> relay_addresses(std::size_t most) const;
+  /// Addresses of at most `max_count` relays, ordered by zone name, so that all nodes with the same
+  /// records get the same result.
+  std::vector<endpoint> relay_addresses(std::size_t max_count) const;
   feed_counters const& counters() const { return counters_; }
+  /// The service that answers other nodes' polls.
   poll_service const& answers() const { return service_; }
-  record_view const& view(topic one) const { return views_.view(one); }
-  /// Whether a node of its zone asks this one and could follow it as relay.
+  record_view const& view(topic topic_id) const { return views_.view(topic_id); }
+  /// Returns true if a node of this zone polls this node and could replace it as relay.
   bool has_successor(time_point now) const {
-    return service_.asking().pick(options_.zone, now).has_value();
+    return service_.polled_by().pick(options_.zone, now).has_value();
   }
-  /// How long ago the store last answered this node's own watch of a topic; nothing if others tell
-  /// it of changes.
-  std::optional<milliseconds> watch_age(topic one, time_point now) const {
-    return source_.watch_age(one, now);
+  /// Time since the store last answered this node's watch of a topic; nothing if the node does not
+  /// watch it.
+  std::optional<milliseconds> watch_age(topic topic_id, time_point now) const {
+    return source_.watch_age(topic_id, now);
   }
-  /// How long ago the records were last known to be complete, by the oldest topic.
+  /// Time since all topics were known to be complete, by the oldest topic.
   milliseconds age(time_point now) const;
 
  private:
-  bool is_sure(topic one, time_point now) const;
+  bool is_authoritative(topic topic_id, time_point now) const;
   source_callbacks make_source_callbacks();
   claim_options make_claim_options() const;
   void note_store_answer();
   void note_relays();
   awaitable<void> peers_loop();
-  awaitable<void> ask_next_peer();
-  /// Servers' records that this node should hold: a relay whole groups, others parts of them.
-  /// Nothing while the groups are not known.
+  awaitable<void> poll_next_peer();
+  /// Returns the servers' records that this node should hold: a relay holds whole groups, other
+  /// nodes subsets of them. Returns nothing while the groups are unknown.
   std::optional<record_selection> select_servers() const;
-  /// What this node should hold of what the store lists.
-  record_selection select_from_store(topic one, kv::range_answer const& all) const;
-  /// Has the servers read anew, once, if this node follows them at the store and holds too few of
-  /// them since its role, or what its calls need, has changed.
-  void review_servers();
-  /// A node that follows the store and knows no servers looks how large their list is first.
-  awaitable<void> look_how_many();
-  /// When a node that follows the store turns to the owner, or the store, for servers as well. All
-  /// of a zone's nodes may have lost their relay at once: where there are many servers, they keep
-  /// to what they know until another relay has had the time to follow.
+  /// Returns the selection of a topic that this node should hold, given the store's list `all`.
+  record_selection select_from_store(topic topic_id, kv::range_answer const& all) const;
+  /// Lists the servers from the store again, once, if this node follows them there and a change of
+  /// its role or of its wanted groups requires more records than it holds.
+  void reload_servers_if_needed();
+  /// Asks the store whether the list of servers exceeds one answer.
+  awaitable<void> check_server_list_length();
+  /// Returns when a node in the relay or direct role starts to read servers' records from the owner
+  /// or the store. With many servers, direct nodes wait for a new relay first: all nodes of a zone
+  /// may have lost their relay at once, and would otherwise all read the whole list.
   time_point servers_needed_from() const;
-  /// For all topics that other nodes can tell of.
+  /// Builds a request for all topics that this node accepts from peers.
   poll_request make_request() const;
-  awaitable<poll_result> ask(endpoint const& peer);
-  /// Asks a node that asked this one and knows more.
-  awaitable<void> ask_back(endpoint peer);
+  awaitable<poll_result> poll(endpoint const& peer);
+  /// Polls a node whose own poll showed that it is ahead of this node.
+  awaitable<void> poll_peer_ahead(endpoint peer);
   void note_result(endpoint const& peer, poll_result const& result);
-  /// A node that was sure, of all but its servers perhaps, answered.
-  void note_service(endpoint const& peer, bool is_relay);
-  /// Whether to put up with an answer that is not sure of the servers: a relay finds another source
-  /// for them by itself, and what it would cost if all nodes did the same grows with the fleet.
-  bool bears_doubt(poll_result const& result, time_point now);
-  /// Keeps the servers' records current on a node that follows the store: through the owner of a
-  /// pool, or the store itself.
+  /// Records that `peer` serves this node.
+  void note_served(endpoint const& peer, bool is_relay);
+  /// Returns true if an answer that is not authoritative only for the servers is acceptable for
+  /// now. The relay looks for another source itself; if every node did, the load on the store would
+  /// grow with the number of nodes.
+  bool tolerates_server_doubt(poll_result const& result, time_point now);
+  /// Keeps the servers' records of a relay or direct node current by polling the owner of a pool
+  /// or, failing that, following the store.
   awaitable<void> servers_loop();
-  awaitable<bool> ask_owner(endpoint owner);
+  awaitable<bool> poll_owner(endpoint owner);
 
-  /// A node that nobody answers reads who the relays are before it follows the store: that costs
-  /// little, however many nodes do so at once, and those relays may just have started themselves.
-  awaitable<void> look_for_relays();
-  /// Turns to the store when no relay answers, and claims the zone's record when its relay fails.
-  awaitable<void> review();
+  /// Reads the relay records from the store before this node falls back to following it. This is
+  /// cheap even if many nodes do so at once, and the relays may only just have started.
+  awaitable<void> list_relays();
+  /// Switches to the direct role if no relay answers, and claims the zone's record if its relay
+  /// fails.
+  awaitable<void> review_role();
   bool must_follow_store(time_point now) const;
-  /// Looks whether the store serves this node while relays answer and none is sure.
+  /// Probes the store while no relay is authoritative; switches to the direct role if it answers.
   awaitable<void> check_store();
-  relay_health assess() const;
+  relay_health assess_relay_health() const;
   awaitable<void> claim(kv::revision replaced);
   void change_role(feed_role role, std::string_view cause);
   void follow_topics();
@@ -175,45 +185,47 @@
   poll_service service_;
   store_source source_;
   zone_relays relays_;
-  zone_record record_;
+  relay_registration registration_;
   peer_picker picker_;
   claim_timer claims_;
   async_condition role_changed_;
-  std::function<void()> store_back_;
+  std::function<void()> on_store_recovered_;
   feed_role role_ = feed_role::standby;
   feed_counters counters_;
+  /// This node owns a pool.
   bool owner_ = false;
-  /// This node stops: others should not rely on it.
+  /// This node is shutting down, so peers should not rely on it.
   bool leaving_ = false;
-  /// The node that answered last and was sure of its views.
+  /// The peer that serves this node: its last answer was acceptable.
   std::optional<endpoint> serving_peer_;
-  /// When an owner last told the servers' records and was sure of them.
-  time_point owner_told_at_ = time_point::min();
+  /// When an owner last answered authoritatively for the servers.
+  time_point owner_answered_at_ = time_point::min();
   time_point started_at_ = time_point::max();
-  /// When a relay last answered, sure or not.
+  /// When a relay last answered, authoritative or not.
   time_point relay_answered_at_ = time_point::min();
-  /// When this node read from the store who the relays are.
+  /// When this node read the relay records from the store.
   time_point relays_listed_at_ = time_point::min();
-  /// How long this node waits for a relay before it turns to the store; each node another time.
-  milliseconds patience_{0};
-  /// How much longer it waits before it reads servers' records itself.
-  milliseconds servers_spread_{0};
-  std::uint32_t fruitless_polls_ = 0;
-  /// Whether any node has ever answered.
-  bool answered_once_ = false;
-  /// When a node was last sure towards this one.
+  /// How long this node waits for a relay before it follows the store; includes jitter.
+  milliseconds relay_timeout_{0};
+  /// Additional wait of a direct node before it reads servers' records itself.
+  milliseconds servers_jitter_{0};
+  /// Consecutive polls that failed or were not authoritative.
+  std::uint32_t unsuccessful_polls_ = 0;
+  bool any_peer_answered_ = false;
+  /// When a peer last served this node.
   time_point served_at_ = time_point::min();
-  /// While no node is: since when the store has answered each look, and when the next is due.
-  std::optional<time_point> store_answers_since_;
+  /// While no peer serves this node: since when the store has answered all probes, and when the
+  /// next probe is due.
+  std::optional<time_point> store_reachable_since_;
   time_point next_store_check_ = time_point::min();
-  time_point asked_back_at_ = time_point::min();
-  bool sure_once_ = false;
-  /// Since when those who serve this node are not sure of the servers.
-  std::optional<time_point> servers_doubted_since_;
-  /// What the store's list of servers is being read anew for.
-  std::optional<record_selection> read_for_;
-  /// Whether the store's list of servers is longer than one answer, once this node has looked.
-  std::optional<bool> servers_are_many_;
+  time_point polled_peer_ahead_at_ = time_point::min();
+  bool had_authoritative_answer_ = false;
+  /// Since when the peers that serve this node are not authoritative for the servers.
+  std::optional<time_point> servers_in_doubt_since_;
+  /// Selection for which the list of servers is being read again.
+  std::optional<record_selection> reloading_for_;
+  /// The store's list of servers exceeds one answer; unset until checked.
+  std::optional<bool> server_list_is_long_;
 };
 
 }  // namespace frostline::relay
--- a/src/relay/record_feed_servers.cc
+++ b/src/relay/record_feed_servers.cc
@@ -1,4 +1,5 @@
-/// Servers' records: which of them a node holds, and from whom it hears of them.
+/// @file The record feed's handling of servers' records: which of them a node holds, and where it
+/// gets them.
 #include <algorithm>
 
 #include "base/log.h"
@@ -9,9 +10,9 @@
 namespace {
 
 constexpr std::string_view k_part = "relay";
-/// An owner that failed is not asked for that long.
-constexpr milliseconds k_owner_avoid_time{1500};
-constexpr milliseconds k_owner_poll{100};
+/// How long an owner that failed is not polled.
+constexpr milliseconds k_owner_backoff{1500};
+constexpr milliseconds k_owner_poll_interval{100};
 
 }  // namespace
 
@@ -19,35 +20,35 @@
   if (!options_.wanted_servers) return record_selection();
   auto const groups = options_.wanted_servers();
   if (!groups) return std::nullopt;
-  group_parts const& held = views_.view(topic::SERVERS).held().parts();
-  group_parts parts;
+  group_subsets const& current = views_.view(topic::SERVERS).selection().subsets();
+  group_subsets subsets;
   for (std::string const& group : *groups) {
-    auto const known = held.find(group);
-    parts[group] = known == held.end() ? k_unknown_part : known->second;
-    // Others ask a relay for any part.
-    if (role_ == feed_role::relay) parts[group] = k_whole_group;
+    auto const known = current.find(group);
+    subsets[group] = known == current.end() ? k_unknown_subset : known->second;
+    // Nodes poll a relay for any subset.
+    if (role_ == feed_role::relay) subsets[group] = k_whole_group;
   }
-  return record_selection(options_.node, std::move(parts));
+  return record_selection(options_.node, std::move(subsets));
 }
 
-record_selection record_feed::select_from_store(topic one, kv::range_answer const& all) const {
+record_selection record_feed::select_from_store(topic topic_id, kv::range_answer const& all) const {
   auto const selected = select_servers();
-  if (one != topic::SERVERS || owner_ || !selected || selected->is_everything()) return {};
+  if (topic_id != topic::SERVERS || owner_ || !selected || selected->is_everything()) return {};
   if (role_ == feed_role::relay) return *selected;
   std::map<std::string, std::size_t> sizes;
   for (kv::key_value const& entry : all.entries) {
     auto const traits = options_.servers_traits(entry);
     if (traits) ++sizes[traits->group];
   }
-  group_parts parts = selected->parts();
-  for (auto& [group, part] : parts) part = suitable_part(part, sizes[group]);
-  return record_selection(options_.node, std::move(parts));
+  group_subsets subsets = selected->subsets();
+  for (auto& [group, divisor] : subsets) divisor = choose_subset(divisor, sizes[group]);
+  return record_selection(options_.node, std::move(subsets));
 }
 
-bool record_feed::bears_doubt(poll_result const& result, time_point now) {
-  if (!result.doubts_servers_only) return false;
-  if (!servers_doubted_since_) servers_doubted_since_ = now;
-  return now < *servers_doubted_since_ + k_servers_patience;
+bool record_feed::tolerates_server_doubt(poll_result const& result, time_point now) {
+  if (!result.only_servers_not_authoritative) return false;
+  if (!servers_in_doubt_since_) servers_in_doubt_since_ = now;
+  return now < *servers_in_doubt_since_ + k_servers_timeout;
 }
 
 awaitable<void> record_feed::servers_loop() {
@@ -63,86 +64,87 @@
       co_await role_changed_.wait();
       continue;
     }
-    if (role_ == feed_role::direct && !servers_are_many_) {
-      co_await look_how_many();
+    if (role_ == feed_role::direct && !server_list_is_long_) {
+      co_await check_server_list_length();
       continue;
     }
     if (now < servers_needed_from()) {
       co_await role_changed_.wait_until(servers_needed_from());
       continue;
     }
-    review_servers();
-    // The owner may be the one of before a restart of all.
+    reload_servers_if_needed();
+    // The known owner may predate a restart of all nodes, so the store is read in parallel.
     if (!views_.view(topic::SERVERS).is_loaded()) source_.follow(topic::SERVERS, true);
     if (owner && now >= avoided_until) {
-      if (co_await ask_owner(*owner)) continue;
-      avoided_until = boot_clock::now() + k_owner_avoid_time;
+      if (co_await poll_owner(*owner)) continue;
+      avoided_until = boot_clock::now() + k_owner_backoff;
       continue;
     }
     source_.follow(topic::SERVERS, true);
-    co_await role_changed_.wait_until(now + (owner ? k_owner_avoid_time : k_owner_poll));
+    co_await role_changed_.wait_until(now + (owner ? k_owner_backoff : k_owner_poll_interval));
   }
 }
 
-void record_feed::review_servers() {
+void record_feed::reload_servers_if_needed() {
   record_view const& known = views_.view(topic::SERVERS);
   auto const selected = select_servers();
-  bool const lacks = known.is_loaded() && selected && !known.held().covers(*selected);
+  bool const lacks = known.is_loaded() && selected && !known.selection().covers(*selected);
   if (!lacks || !source_.follows(topic::SERVERS)) {
-    read_for_.reset();
+    reloading_for_.reset();
     return;
   }
-  if (read_for_ == selected) return;
-  read_for_ = selected;
-  log_line(log_level::info, k_part, "Servers are read anew: this node needs others than before.",
+  if (reloading_for_ == selected) return;
+  reloading_for_ = selected;
+  log_line(log_level::info, k_part, "Reading servers again: this node needs more of them.",
            {{"zone", options_.zone}, {"role", to_text(role_)}});
   source_.follow(topic::SERVERS, false);
   source_.follow(topic::SERVERS, true);
 }
 
-awaitable<void> record_feed::look_how_many() {
-  servers_are_many_ = false;
+awaitable<void> record_feed::check_server_list_length() {
+  server_list_is_long_ = false;
   if (views_.view(topic::SERVERS).is_loaded()) co_return;
   auto const many = co_await store_.has_many(options_.prefixes[index_of(topic::SERVERS)]);
   if (many) {
-    servers_are_many_ = many.value();
+    server_list_is_long_ = many.value();
     co_return;
   }
-  log_line(log_level::info, k_part, "Store does not tell how many servers there are.",
+  log_line(log_level::info, k_part, "Store did not report whether it has many servers.",
            {{"zone", options_.zone}, {"cause", many.error().message()}});
 }
 
 time_point record_feed::servers_needed_from() const {
-  group_parts const& held = views_.view(topic::SERVERS).held().parts();
-  bool const holds_parts = std::any_of(held.begin(), held.end(),
-                                       [](auto const& one) { return one.second > k_whole_group; });
-  bool const many = holds_parts || servers_are_many_.value_or(false);
+  group_subsets const& current = views_.view(topic::SERVERS).selection().subsets();
+  bool const holds_subsets = std::any_of(current.begin(), current.end(), [](auto const& entry) {
+    return entry.second > k_whole_group;
+  });
+  bool const many = holds_subsets || server_list_is_long_.value_or(false);
   if (role_ != feed_role::direct || !many) return time_point::min();
-  return std::max(served_at_, started_at_) + k_servers_patience + servers_spread_;
+  return std::max(served_at_, started_at_) + k_servers_timeout + servers_jitter_;
 }
 
-awaitable<bool> record_feed::ask_owner(endpoint owner) {
+awaitable<bool> record_feed::poll_owner(endpoint owner) {
   poll_request request = make_request();
   request.topics = {topic::SERVERS};
-  request.takes_servers = [this] { return !owner_; };
-  request.wait = k_wait;
-  request.answer_margin = k_margin;
+  request.accept_servers = [this] { return !owner_; };
+  request.wait = k_poll_wait;
+  request.answer_margin = k_answer_margin;
   ++counters_.polls_sent;
   auto const result = co_await poll_peer(transport_, owner, std::move(request), views_);
-  bool const sure = result.outcome == poll_outcome::sure;
-  if (sure) {
-    owner_told_at_ = boot_clock::now();
-    // An owner holds more than it passes on.
+  bool const authoritative = result.outcome == poll_outcome::authoritative;
+  if (authoritative) {
+    owner_answered_at_ = boot_clock::now();
+    // An owner sends less than it holds, so a node that has just become one keeps following.
     if (!owner_) source_.follow(topic::SERVERS, false);
     auto const selected = select_servers();
     if (!owner_ && role_ == feed_role::relay && selected) {
       views_.narrow(topic::SERVERS, *selected);
     }
   } else {
-    log_line(log_level::info, k_part, "Owner does not tell of servers; following the store.",
+    log_line(log_level::info, k_part, "Owner is not a source of servers; following the store.",
              {{"owner", owner.to_string()}, {"cause", result.cause}});
   }
-  co_return sure;
+  co_return authoritative;
 }
 
 }  // namespace frostline::relay
--- a/src/relay/record_selection.cc
+++ b/src/relay/record_selection.cc
@@ -7,14 +7,16 @@
 namespace frostline::relay {
 namespace {
 
-/// Records that a part has at least when it is chosen, and at least and at most while it is kept.
-constexpr std::size_t k_fewest_chosen = 128;
-constexpr std::size_t k_fewest_kept = 96;
-constexpr std::size_t k_most_kept = 512;
-/// Parts of one node are nested, so that a change from one to the next moves few records.
-constexpr std::uint32_t k_step = 2;
-
-std::uint64_t mix(std::uint64_t placement_hash, std::uint64_t node) {
+/// Bounds on the records of a subset: the minimum when a divisor is chosen, and the range in which
+/// a present divisor is kept.
+constexpr std::size_t k_min_chosen = 128;
+constexpr std::size_t k_min_kept = 96;
+constexpr std::size_t k_max_kept = 512;
+/// Divisors are powers of this, so that a node's subsets are nested and a change of divisor moves
+/// few records.
+constexpr std::uint32_t k_divisor_step = 2;
+
+std::uint64_t sampling_hash(std::uint64_t placement_hash, std::uint64_t node) {
   std::string_view const bytes(reinterpret_cast<char const*>(&placement_hash),
                                sizeof placement_hash);
   return hash_bytes(bytes, node);
@@ -22,37 +24,38 @@
 
 }  // namespace
 
-record_selection::record_selection(std::string const& node, group_parts parts)
-    : everything_(false), parts_(std::move(parts)) {
-  bool const whole = std::all_of(parts_.begin(), parts_.end(),
-                                 [](auto const& one) { return one.second == k_whole_group; });
+record_selection::record_selection(std::string const& node, group_subsets subsets)
+    : everything_(false), subsets_(std::move(subsets)) {
+  bool const whole = std::all_of(subsets_.begin(), subsets_.end(),
+                                 [](auto const& entry) { return entry.second == k_whole_group; });
   if (!whole) node_ = hash_bytes(node);
 }
 
 bool record_selection::includes(record_traits const& traits) const {
   if (everything_) return true;
-  auto const part = parts_.find(traits.group);
-  if (part == parts_.end() || part->second == k_unknown_part) return false;
-  return part->second == k_whole_group || mix(traits.placement_hash, node_) % part->second == 0;
+  auto const subset = subsets_.find(traits.group);
+  if (subset == subsets_.end() || subset->second == k_unknown_subset) return false;
+  return subset->second == k_whole_group ||
+         sampling_hash(traits.placement_hash, node_) % subset->second == 0;
 }
 
 bool record_selection::covers(record_selection const& wanted) const {
   if (everything_) return true;
   if (wanted.everything_) return false;
-  return std::all_of(wanted.parts_.begin(), wanted.parts_.end(), [&](auto const& one) {
-    auto const own = parts_.find(one.first);
-    if (own == parts_.end() || own->second == k_unknown_part) return false;
-    return own->second == k_whole_group || (own->second == one.second && node_ == wanted.node_);
+  return std::all_of(wanted.subsets_.begin(), wanted.subsets_.end(), [&](auto const& entry) {
+    auto const own = subsets_.find(entry.first);
+    if (own == subsets_.end() || own->second == k_unknown_subset) return false;
+    return own->second == k_whole_group || (own->second == entry.second && node_ == wanted.node_);
   });
 }
 
-std::uint32_t suitable_part(std::uint32_t current, std::size_t records) {
-  bool const known = current != k_unknown_part;
-  bool const enough = current == k_whole_group || (known && records / current >= k_fewest_kept);
-  if (known && enough && records / current <= k_most_kept) return current;
-  std::uint32_t part = k_whole_group;
-  while (records / (part * k_step) >= k_fewest_chosen) part *= k_step;
-  return part;
+std::uint32_t choose_subset(std::uint32_t current, std::size_t records) {
+  bool const known = current != k_unknown_subset;
+  bool const enough = current == k_whole_group || (known && records / current >= k_min_kept);
+  if (known && enough && records / current <= k_max_kept) return current;
+  std::uint32_t divisor = k_whole_group;
+  while (records / (divisor * k_divisor_step) >= k_min_chosen) divisor *= k_divisor_step;
+  return divisor;
 }
 
 }  // namespace frostline::relay
--- a/src/relay/record_selection.h
+++ b/src/relay/record_selection.h
@@ -1,5 +1,6 @@
-/// @file Which records of a topic a node holds or asks for: all, or those of some groups, of each
-/// group all or an even part that differs from node to node. Pure.
+/// @file Selects the records of a topic that a node holds or requests: all of them, or those of
+/// some groups. Of each group, a node selects all records or a pseudorandom subset that differs
+/// between nodes. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,54 +14,54 @@
 
 namespace frostline::relay {
 
-/// What a record's value says of whom it concerns.
+/// Properties of a record's value by which it is selected.
 struct record_traits {
-  /// Records of one group are selected alike: a server's service.
+  /// Selection is per group. The group of a server's record is its service.
   std::string group;
-  /// Spreads a group's records over the nodes; one value for all lives at one address.
+  /// Assigns the record to subsets. The same for all incarnations of a server at one address.
   std::uint64_t placement_hash = 0;
-  /// Equal for values that other nodes can treat alike.
+  /// Equal for values whose difference does not matter to other nodes.
   std::uint64_t digest = 0;
 };
 
-/// @return nothing for a record that can't be read; such a record concerns everybody.
+/// Returns nothing for a malformed record; every selection includes such a record.
 using trait_reader = std::function<std::optional<record_traits>(kv::key_value const&)>;
 
-/// By group: a node holds one record in that many, a power of two. k_unknown_part: the node that
-/// answers chooses.
-using group_parts = std::map<std::string, std::uint32_t>;
+/// Subset of each group as a divisor, which is a power of two: a node holds one in that many
+/// records. With k_unknown_subset the answering node chooses the divisor.
+using group_subsets = std::map<std::string, std::uint32_t>;
 
 inline constexpr std::uint32_t k_whole_group = 1;
-inline constexpr std::uint32_t k_unknown_part = 0;
+inline constexpr std::uint32_t k_unknown_subset = 0;
 
 class record_selection {
  public:
-  /// All records.
+  /// Selects all records.
   record_selection() = default;
-  /// @param node whose part it is: each node has another one.
-  record_selection(std::string const& node, group_parts parts);
+  /// @param node name of the node that holds the subsets; it determines which records they contain.
+  record_selection(std::string const& node, group_subsets subsets);
 
   bool is_everything() const { return everything_; }
-  group_parts const& parts() const { return parts_; }
+  group_subsets const& subsets() const { return subsets_; }
   bool includes(record_traits const& traits) const;
   bool includes(std::optional<record_traits> const& traits) const {
     return !traits || includes(*traits);
   }
-  /// Whether all that `wanted` includes is included here.
+  /// Returns true if this selection includes every record that `wanted` includes.
   bool covers(record_selection const& wanted) const;
   bool operator==(record_selection const&) const = default;
 
  private:
   bool everything_ = true;
-  /// 0 where all parts are whole groups.
+  /// Hash of the node's name; 0 if all subsets are whole groups.
   std::uint64_t node_ = 0;
-  group_parts parts_;
+  group_subsets subsets_;
 };
 
-/// The part of a group that a node holds: enough records to spread its calls over, however large
-/// the group is. A part that is still suitable stays.
-/// @param current k_unknown_part: none yet.
-/// @param records of the whole group.
-std::uint32_t suitable_part(std::uint32_t current, std::size_t records);
+/// Returns the divisor for a group: the subset must be large enough to balance calls over it, and
+/// bounded however large the group is. Keeps `current` while it is suitable.
+/// @param current present divisor, or k_unknown_subset.
+/// @param records size of the whole group.
+std::uint32_t choose_subset(std::uint32_t current, std::size_t records);
 
 }  // namespace frostline::relay
--- a/src/relay/record_view.cc
+++ b/src/relay/record_view.cc
@@ -6,7 +6,7 @@
 namespace frostline::relay {
 namespace {
 
-kv::watch_event write_removal(kv::watch_event const& change) {
+kv::watch_event make_removal(kv::watch_event const& change) {
   kv::watch_event gone = change;
   gone.deleted = true;
   gone.entry.value.clear();
@@ -16,16 +16,16 @@
 }  // namespace
 
 std::vector<kv::watch_event> record_view::take_snapshot(kv::range_answer const& all,
-                                                        record_selection const& held) {
-  std::vector<kv::watch_event> news;
-  bool const reselected = !is_loaded() || !(held == held_);
-  if (!reselected && all.store_revision < at_) return news;
-  held_ = held;
+                                                        record_selection const& selection) {
+  std::vector<kv::watch_event> applied;
+  bool const reselected = !is_loaded() || !(selection == selection_);
+  if (!reselected && all.store_revision < at_) return applied;
+  selection_ = selection;
   std::set<std::string> listed;
   for (kv::key_value const& entry : all.entries) {
     listed.insert(entry.key);
     auto change = apply({false, entry});
-    if (change) news.push_back(std::move(*change));
+    if (change) applied.push_back(std::move(*change));
   }
   std::vector<std::string> missing;
   for (auto const& [key, known] : records_) {
@@ -37,27 +37,27 @@
     gone.entry.key = key;
     gone.entry.mod_revision = all.store_revision;
     auto change = apply(gone);
-    if (change) news.push_back(std::move(*change));
+    if (change) applied.push_back(std::move(*change));
   }
   at_ = all.store_revision;
   if (reselected) {
     changes_.clear();
     complete_after_ = at_;
   }
-  return news;
+  return applied;
 }
 
-std::vector<std::string> record_view::narrow(record_selection const& held) {
-  if (held == held_ || !held_.covers(held)) return {};
-  held_ = held;
-  return drop_except(held);
+std::vector<std::string> record_view::narrow(record_selection const& selection) {
+  if (selection == selection_ || !selection_.covers(selection)) return {};
+  selection_ = selection;
+  return drop_unselected(selection);
 }
 
-std::vector<std::string> record_view::drop_except(record_selection const& held) {
+std::vector<std::string> record_view::drop_unselected(record_selection const& selection) {
   std::vector<std::string> dropped;
-  if (held.is_everything()) return dropped;
+  if (selection.is_everything()) return dropped;
   for (auto const& [key, entry] : records_) {
-    if (!held.includes(traits_of(key))) dropped.push_back(key);
+    if (!selection.includes(traits_of(key))) dropped.push_back(key);
   }
   for (std::string const& key : dropped) {
     set_traits(key, std::nullopt);
@@ -77,30 +77,31 @@
 
 std::optional<kv::watch_event> record_view::apply(kv::watch_event const& event) {
   auto const known = records_.find(event.entry.key);
-  change one;
-  one.event = event;
-  one.was_known = known != records_.end();
-  if (one.was_known) {
+  change recorded;
+  recorded.event = event;
+  recorded.was_known = known != records_.end();
+  if (recorded.was_known) {
     if (!event.deleted && event.entry.mod_revision <= known->second.mod_revision) {
       return std::nullopt;
     }
-    one.before = traits_of(event.entry.key);
+    recorded.before = traits_of(event.entry.key);
   }
-  if (!event.deleted && read_traits_) one.after = read_traits_(event.entry);
-  // A record that belongs elsewhere now is gone for this view.
-  if (!event.deleted && !held_.includes(one.after)) one.event = write_removal(event);
-  if (one.event.deleted) {
-    if (!one.was_known) return std::nullopt;
+  if (!event.deleted && read_traits_) recorded.after = read_traits_(event.entry);
+  // A record that leaves the selection counts as removed.
+  if (!event.deleted && !selection_.includes(recorded.after)) recorded.event = make_removal(event);
+  if (recorded.event.deleted) {
+    if (!recorded.was_known) return std::nullopt;
     set_traits(event.entry.key, std::nullopt);
     records_.erase(known);
   } else {
     records_[event.entry.key] = event.entry;
-    set_traits(event.entry.key, one.after);
+    set_traits(event.entry.key, recorded.after);
   }
-  kv::watch_event const told = one.event;
-  bool const alike = one.before && one.after && one.before->digest == one.after->digest;
-  if (!alike || told.deleted) remember(std::move(one));
-  return told;
+  kv::watch_event const applied = recorded.event;
+  bool const alike =
+      recorded.before && recorded.after && recorded.before->digest == recorded.after->digest;
+  if (!alike || applied.deleted) append_change(std::move(recorded));
+  return applied;
 }
 
 std::optional<record_traits> record_view::traits_of(std::string const& key) const {
@@ -121,11 +122,11 @@
   traits_.emplace(key, std::move(*traits));
 }
 
-void record_view::remember(change one) {
+void record_view::append_change(change recorded) {
   kv::revision const newest = changes_.empty() ? 0 : changes_.back().newest;
-  one.newest = std::max(newest, one.event.entry.mod_revision);
-  changes_.push_back(std::move(one));
-  if (changes_.size() <= most_changes_) return;
+  recorded.newest = std::max(newest, recorded.event.entry.mod_revision);
+  changes_.push_back(std::move(recorded));
+  if (changes_.size() <= max_changes_) return;
   complete_after_ = std::max(complete_after_, changes_.front().event.entry.mod_revision);
   changes_.pop_front();
 }
@@ -142,18 +143,18 @@
   return all;
 }
 
-std::optional<kv::watch_event> record_view::tell(change const& one,
-                                                 record_selection const& wanted) {
-  bool const was_included = one.was_known && wanted.includes(one.before);
-  bool const is_included = !one.event.deleted && wanted.includes(one.after);
-  if (is_included) return one.event;
+std::optional<kv::watch_event> record_view::event_for(change const& recorded,
+                                                      record_selection const& wanted) {
+  bool const was_included = recorded.was_known && wanted.includes(recorded.before);
+  bool const is_included = !recorded.event.deleted && wanted.includes(recorded.after);
+  if (is_included) return recorded.event;
   if (!was_included) return std::nullopt;
-  return write_removal(one.event);
+  return make_removal(recorded.event);
 }
 
 void record_view::list_selected(record_selection const& wanted,
                                 std::vector<kv::watch_event>& into) const {
-  // Both are sorted by key.
+  // Both maps are sorted by key.
   auto traits = traits_.begin();
   for (auto const& [key, entry] : records_) {
     bool const known = traits != traits_.end() && traits->first == key;
@@ -166,24 +167,25 @@
 record_delta record_view::since(kv::revision after, record_selection const& wanted) const {
   record_delta delta;
   delta.at = at_;
-  delta.whole = is_loaded() && after < complete_after_;
-  if (delta.whole) {
+  delta.is_snapshot = is_loaded() && after < complete_after_;
+  if (delta.is_snapshot) {
     list_selected(wanted, delta.changes);
     return delta;
   }
-  for (change const& one : changes_) {
-    if (one.event.entry.mod_revision <= after) continue;
-    auto told = tell(one, wanted);
-    if (told) delta.changes.push_back(std::move(*told));
+  for (change const& recorded : changes_) {
+    if (recorded.event.entry.mod_revision <= after) continue;
+    auto event = event_for(recorded, wanted);
+    if (event) delta.changes.push_back(std::move(*event));
   }
   return delta;
 }
 
-bool record_view::has_news(kv::revision after, record_selection const& wanted) const {
+bool record_view::has_changes(kv::revision after, record_selection const& wanted) const {
   if (!is_loaded()) return false;
   if (after < complete_after_) return true;
-  for (auto one = changes_.rbegin(); one != changes_.rend() && one->newest > after; ++one) {
-    if (one->event.entry.mod_revision > after && tell(*one, wanted)) return true;
+  for (auto recorded = changes_.rbegin(); recorded != changes_.rend() && recorded->newest > after;
+       ++recorded) {
+    if (recorded->event.entry.mod_revision > after && event_for(*recorded, wanted)) return true;
   }
   return false;
 }
--- a/src/relay/record_view.h
+++ b/src/relay/record_view.h
@@ -1,6 +1,7 @@
-/// @file What one node knows of the records below a prefix of the record store: the records, the
-/// revision up to which they are complete, and the newest changes, so that it can pass them on.
-/// Sources may be the store and other nodes, in any order: no record ever goes back. Pure.
+/// @file A node's copy of the records below one prefix of the record store: the records, the
+/// revision up to which they are complete, and recent changes for other nodes. Updates may come
+/// from the store and from peers in any order; a record is never replaced by an older revision.
+/// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,84 +15,87 @@
 
 namespace frostline::relay {
 
-/// What somebody who knows the records up to a revision lacks.
+/// What a node that holds the records up to some revision lacks.
 struct record_delta {
-  /// The changes are all selected records there are, not those after the revision.
-  bool whole = false;
+  /// `changes` lists all selected records instead of the changes after the revision.
+  bool is_snapshot = false;
   kv::revision at = 0;
   std::vector<kv::watch_event> changes;
 };
 
 class record_view {
  public:
-  /// Changes that are kept one by one; who lacks more gets all records that it wants.
-  static constexpr std::size_t k_most_changes = 512;
+  /// Length of the change history. A node that is further behind gets a snapshot.
+  static constexpr std::size_t k_max_changes = 512;
 
-  /// @param read_traits null: all records concern everybody.
-  explicit record_view(trait_reader read_traits = nullptr,
-                       std::size_t most_changes = k_most_changes)
-      : read_traits_(std::move(read_traits)), most_changes_(most_changes) {}
+  /// @param read_traits if null, every selection includes all records.
+  explicit record_view(trait_reader read_traits = nullptr, std::size_t max_changes = k_max_changes)
+      : read_traits_(std::move(read_traits)), max_changes_(max_changes) {}
 
-  /// @param held what the view holds from now on: it passes over whatever else `all` lists. If it
-  /// differs from what the view held, the view goes on from the snapshot's revision.
-  /// @return what it changes, in no order; nothing if more is known already.
+  /// Replaces the records by a snapshot.
+  /// @param selection what the view holds from now on; other records in `all` are ignored. If it
+  /// differs from the current selection, the view takes the snapshot's revision, even an older one.
+  /// @return the resulting changes, unordered; empty if the view is already newer.
   std::vector<kv::watch_event> take_snapshot(kv::range_answer const& all,
-                                             record_selection const& held = {});
-  /// To be followed by `advance` once all changes of an answer are taken: several may have the same
-  /// revision. @return what it changes here; nothing if it is no news, or of a record that the view
-  /// does not hold.
+                                             record_selection const& selection = {});
+  /// Applies one change. Call `advance` only after all changes of a response, since several may
+  /// have the same revision.
+  /// @return the resulting change; nothing if it is not new or the view does not hold the record.
   std::optional<kv::watch_event> take_event(kv::watch_event const& event);
-  /// Nothing else has changed up to this revision.
+  /// Marks the view as complete up to a revision.
   void advance(kv::revision at);
-  /// Drops what `held` does not include, if the view holds all that it includes.
-  /// @return the dropped records' keys.
-  std::vector<std::string> narrow(record_selection const& held);
-  /// Drops what `held` does not include, before a snapshot of `held` is taken.
-  /// @return the dropped records' keys.
-  std::vector<std::string> drop_except(record_selection const& held);
+  /// Reduces the view to `selection` if its present selection covers that.
+  /// @return keys of the dropped records.
+  std::vector<std::string> narrow(record_selection const& selection);
+  /// Drops records outside `selection`, before a snapshot of that selection is applied.
+  /// @return keys of the dropped records.
+  std::vector<std::string> drop_unselected(record_selection const& selection);
 
-  /// Revision up to which the view is complete; 0: nothing is known.
+  /// Revision up to which the view is complete; 0 before the first snapshot.
   kv::revision at() const { return at_; }
   bool is_loaded() const { return at_ != 0; }
-  /// What the view holds of the topic.
-  record_selection const& held() const { return held_; }
+  /// The records that the view holds.
+  record_selection const& selection() const { return selection_; }
   std::map<std::string, kv::key_value> const& records() const { return records_; }
-  /// Records of a group that the view holds.
+  /// Number of records of a group in the view.
   std::size_t group_size(std::string const& group) const;
-  /// All records, as the store would list them.
+  /// All records of the view, in the form of a list answer of the store.
   kv::range_answer list() const;
+  /// Returns what a node that holds `wanted` up to revision `after` lacks.
   record_delta since(kv::revision after, record_selection const& wanted = {}) const;
-  /// Whether since(after, wanted) holds a change.
-  bool has_news(kv::revision after, record_selection const& wanted = {}) const;
+  /// Returns true if since(after, wanted) would contain changes, or a snapshot.
+  bool has_changes(kv::revision after, record_selection const& wanted = {}) const;
 
  private:
-  /// One change, and whom the record concerned before and after it.
+  /// A change with the record's traits before and after it.
   struct change {
     kv::watch_event event;
     bool was_known = false;
     std::optional<record_traits> before;
     std::optional<record_traits> after;
-    /// The newest revision among this change and those before it.
+    /// Highest revision of this change and all earlier ones in the history.
     kv::revision newest = 0;
   };
 
-  void remember(change one);
+  void append_change(change recorded);
   std::optional<kv::watch_event> apply(kv::watch_event const& event);
   void list_selected(record_selection const& wanted, std::vector<kv::watch_event>& into) const;
   std::optional<record_traits> traits_of(std::string const& key) const;
   void set_traits(std::string const& key, std::optional<record_traits> traits);
-  /// What somebody who holds `wanted` is told of a change; nothing if it doesn't concern them.
-  static std::optional<kv::watch_event> tell(change const& one, record_selection const& wanted);
+  /// Returns the change as seen by a holder of `wanted`: a record that leaves the selection appears
+  /// as removed. Returns nothing if the change does not affect the selection.
+  static std::optional<kv::watch_event> event_for(change const& recorded,
+                                                  record_selection const& wanted);
 
   trait_reader read_traits_;
-  std::size_t most_changes_;
-  record_selection held_;
+  std::size_t max_changes_;
+  record_selection selection_;
   std::map<std::string, kv::key_value> records_;
-  /// By key; none for records that can't be read.
+  /// Keyed by record key; malformed records have no entry.
   std::map<std::string, record_traits> traits_;
   std::map<std::string, std::size_t> group_sizes_;
   std::deque<change> changes_;
-  /// All changes after this revision that are told at all are in `changes_`.
+  /// `changes_` is complete for all later revisions.
   kv::revision complete_after_ = 0;
   kv::revision at_ = 0;
 };
--- a/src/relay/store_source.cc
+++ b/src/relay/store_source.cc
@@ -10,18 +10,17 @@
 namespace {
 
 constexpr std::string_view k_part = "relay";
-/// With its jitter two to three calls a second, at the price of a quarter of a call, for each node
-/// that follows the store; one lost answer is made good within k_longest_silence.
-constexpr milliseconds k_contact_interval{500};
-constexpr milliseconds k_contact_timeout{300};
-constexpr milliseconds k_retry_pause{100};
-/// Relays hear of a change within some milliseconds of each other; a follower's longest pause
-/// between two watches is 0.4 s.
-constexpr milliseconds k_expected_time{700};
-
-/// What callers and engines may be sent, and what is refused, follows from these.
-constexpr milliseconds watch_wait_of(topic one) {
-  bool const prompt = one == topic::CONFIGURATION || one == topic::SERVERS;
+/// Jittered. Short enough that one lost probe does not exceed k_max_silence.
+constexpr milliseconds k_probe_interval{500};
+constexpr milliseconds k_probe_timeout{300};
+constexpr milliseconds k_retry_backoff{100};
+/// How long a change that peers know may take to reach this node's own watch. Relays receive a
+/// change within milliseconds of each other; a follower pauses up to 0.4 s between watches.
+constexpr milliseconds k_expected_change_timeout{700};
+
+/// Routing and admission depend on the configuration and the servers, so these use prompt watches.
+constexpr milliseconds watch_wait_of(topic topic_id) {
+  bool const prompt = topic_id == topic::CONFIGURATION || topic_id == topic::SERVERS;
   return prompt ? kv::k_prompt_watch_wait : kv::k_watch_wait;
 }
 
@@ -33,114 +32,121 @@
       store_(store),
       prefixes_(std::move(prefixes)),
       callbacks_(std::move(callbacks)),
-      wanted_(context) {}
+      follow_started_(context) {}
 
-void store_source::follow(topic one, bool wanted) {
-  std::shared_ptr<kv::follower>& place = slot(one);
-  if (wanted == (place != nullptr)) return;
+void store_source::follow(topic topic_id, bool wanted) {
+  std::shared_ptr<kv::follower>& follower = slot(topic_id);
+  if (wanted == (follower != nullptr)) return;
   if (!wanted) {
-    place->stop();
-    place.reset();
+    follower->stop();
+    follower.reset();
     return;
   }
   kv::follower_callbacks callbacks;
-  callbacks.snapshot = [this, one](kv::range_answer const& all) { callbacks_.snapshot(one, all); };
-  callbacks.event = [this, one](kv::watch_event const& event) { callbacks_.event(one, event); };
-  callbacks.complete_to = [this, one](kv::revision at) { callbacks_.complete_to(one, at); };
-  callbacks.watch_silent = [this, one] { note_silent_watch(one); };
-  kv::follower_options const options{pauses_[index_of(one)], watch_wait_of(one)};
-  place = std::make_shared<kv::follower>(context_, store_, prefixes_[index_of(one)],
-                                         std::move(callbacks), options);
-  place->start();
-  wanted_.notify_all();
+  callbacks.snapshot = [this, topic_id](kv::range_answer const& all) {
+    callbacks_.snapshot(topic_id, all);
+  };
+  callbacks.event = [this, topic_id](kv::watch_event const& event) {
+    callbacks_.event(topic_id, event);
+  };
+  callbacks.complete_to = [this, topic_id](kv::revision at) {
+    callbacks_.complete_to(topic_id, at);
+  };
+  callbacks.watch_silent = [this, topic_id] { note_watch_timeout(topic_id); };
+  kv::follower_options const options{pauses_[index_of(topic_id)], watch_wait_of(topic_id)};
+  follower = std::make_shared<kv::follower>(context_, store_, prefixes_[index_of(topic_id)],
+                                            std::move(callbacks), options);
+  follower->start();
+  follow_started_.notify_all();
 }
 
 bool store_source::follows_any() const {
   return std::any_of(followers_.begin(), followers_.end(),
-                     [](auto const& one) { return one != nullptr; });
+                     [](auto const& follower) { return follower != nullptr; });
 }
 
-void store_source::set_pause(topic one, milliseconds pause) {
-  pauses_[index_of(one)] = pause;
-  if (slot(one)) slot(one)->set_pause(pause);
+void store_source::set_pause(topic topic_id, milliseconds pause) {
+  pauses_[index_of(topic_id)] = pause;
+  if (slot(topic_id)) slot(topic_id)->set_pause(pause);
 }
 
-bool store_source::is_current(topic one, time_point now) const {
-  bool const recent =
-      confirmed_at_ != time_point::min() && now <= confirmed_at_ + k_longest_silence;
-  return recent && slot(one) && slot(one)->is_current();
+bool store_source::is_current(topic topic_id, time_point now) const {
+  bool const recent = confirmed_at_ != time_point::min() && now <= confirmed_at_ + k_max_silence;
+  return recent && slot(topic_id) && slot(topic_id)->is_current();
 }
 
-std::optional<milliseconds> store_source::watch_age(topic one, time_point now) const {
-  if (!slot(one) || slot(one)->answered_at() == time_point::min()) return std::nullopt;
-  return std::chrono::duration_cast<milliseconds>(now - slot(one)->answered_at());
+std::optional<milliseconds> store_source::watch_age(topic topic_id, time_point now) const {
+  if (!slot(topic_id) || slot(topic_id)->answered_at() == time_point::min()) return std::nullopt;
+  return std::chrono::duration_cast<milliseconds>(now - slot(topic_id)->answered_at());
 }
 
-void store_source::note_silent_watch(topic one) {
-  // In an outage all watches fail; they begin anew when it is over.
+void store_source::note_watch_timeout(topic topic_id) {
+  // In an outage of the store all watches fail and are restarted when it recovers.
   if (silent_) return;
-  log_line(log_level::warning, k_part, "Watch got no answer; beginning the others anew.",
-           {{"topic", rpc::EnumNameRecordTopic(one)}});
+  log_line(log_level::warning, k_part, "Watch got no answer; restarting the other watches.",
+           {{"topic", rpc::EnumNameRecordTopic(topic_id)}});
   for (topic const other : k_topics) {
-    if (other != one && slot(other)) slot(other)->resynchronize();
+    if (other != topic_id && slot(other)) slot(other)->resynchronize();
   }
   callbacks_.watch_silent();
 }
 
-void store_source::expect(topic one, kv::revision change) {
-  if (!slot(one) || slot(one)->at() >= change) return;
-  kv::revision& expected = expected_[index_of(one)];
+void store_source::expect(topic topic_id, kv::revision change) {
+  if (!slot(topic_id) || slot(topic_id)->at() >= change) return;
+  kv::revision& expected = expected_[index_of(topic_id)];
   bool const waiting = expected != 0;
   expected = std::max(expected, change);
-  if (!waiting) spawn(context_, check_expected(one));
+  if (!waiting) spawn(context_, check_expected(topic_id));
 }
 
-awaitable<void> store_source::check_expected(topic one) {
-  co_await wait_for(k_expected_time);
-  kv::revision const expected = std::exchange(expected_[index_of(one)], 0);
-  if (!slot(one) || slot(one)->at() >= expected || silent_) co_return;
-  log_line(
-      log_level::warning, k_part, "Watch has not told what others know; reading again.",
-      {{"topic", rpc::EnumNameRecordTopic(one)}, {"at", slot(one)->at()}, {"expected", expected}});
-  slot(one)->resynchronize();
+awaitable<void> store_source::check_expected(topic topic_id) {
+  co_await wait_for(k_expected_change_timeout);
+  kv::revision const expected = std::exchange(expected_[index_of(topic_id)], 0);
+  if (!slot(topic_id) || slot(topic_id)->at() >= expected || silent_) co_return;
+  log_line(log_level::warning, k_part,
+           "Watch missed a change that peers know; reading the topic again.",
+           {{"topic", rpc::EnumNameRecordTopic(topic_id)},
+            {"at", slot(topic_id)->at()},
+            {"expected", expected}});
+  slot(topic_id)->resynchronize();
 }
 
 void store_source::resynchronize(std::string_view cause) {
   if (!follows_any()) return;
   log_line(log_level::warning, k_part, "Reading all followed records again.", {{"cause", cause}});
-  for (auto const& one : followers_) {
-    if (one) one->resynchronize();
+  for (auto const& follower : followers_) {
+    if (follower) follower->resynchronize();
   }
 }
 
-awaitable<void> store_source::contact_loop() {
+awaitable<void> store_source::probe_loop() {
   while (true) {
     if (!follows_any()) {
-      co_await wanted_.wait();
+      co_await follow_started_.wait();
       continue;
     }
-    time_point const asked = boot_clock::now();
-    auto const answer = co_await store_.probe(k_contact_timeout);
-    note_contact(static_cast<bool>(answer), asked);
-    co_await wait_for(with_jitter(answer ? k_contact_interval : k_retry_pause));
+    time_point const sent_at = boot_clock::now();
+    auto const answer = co_await store_.probe(k_probe_timeout);
+    note_probe(static_cast<bool>(answer), sent_at);
+    co_await wait_for(with_jitter(answer ? k_probe_interval : k_retry_backoff));
   }
 }
 
-void store_source::note_contact(bool answered, time_point asked) {
+void store_source::note_probe(bool answered, time_point sent_at) {
   bool const was_silent = silent_;
   if (answered) {
-    confirmed_at_ = asked;
+    confirmed_at_ = sent_at;
     silent_ = false;
-  } else if (boot_clock::now() > confirmed_at_ + k_longest_silence) {
+  } else if (boot_clock::now() > confirmed_at_ + k_max_silence) {
     silent_ = true;
   }
   if (answered) callbacks_.confirmed();
   if (silent_ == was_silent) return;
   log_line(log_level::warning, k_part,
            silent_ ? "Record store does not answer." : "Record store answers again.");
-  // A watch that began before the silence may be dead without showing it.
-  callbacks_.contact_changed();
-  if (!silent_) resynchronize("the store was silent");
+  // A watch that started before the outage may be dead without an error.
+  callbacks_.reachability_changed();
+  if (!silent_) resynchronize("the store was unreachable");
 }
 
 }  // namespace frostline::relay
--- a/src/relay/store_source.h
+++ b/src/relay/store_source.h
@@ -1,5 +1,4 @@
-/// @file Topics that this node follows at the record store itself, and how long ago the store last
-/// answered it.
+/// @file Follows topics directly at the record store and tracks whether the store is reachable.
 #pragma once
 
 #include <array>
@@ -14,59 +13,61 @@
 
 namespace frostline::relay {
 
-/// What the store tells; `snapshot` holds all records of a topic.
+/// Receives updates from the store; `snapshot` lists all records of a topic.
 struct source_callbacks {
   std::function<void(topic, kv::range_answer const&)> snapshot;
   std::function<void(topic, kv::watch_event const&)> event;
   std::function<void(topic, kv::revision)> complete_to;
-  /// The store has answered a sign of life.
+  /// The store answered a probe.
   std::function<void()> confirmed;
-  /// The store answers again, or does not any more.
-  std::function<void()> contact_changed;
-  /// A watch got no answer although the store answers; others may be as dead.
+  /// The store became reachable or unreachable.
+  std::function<void()> reachability_changed;
+  /// A watch got no answer although the store is reachable; other watches may be dead as well.
   std::function<void()> watch_silent;
 };
 
 class store_source {
  public:
-  /// A node that the store has not answered for that long may miss changes. Three tries of the
-  /// contact loop; with a relay's change-over (a second) short of the two seconds that the
-  /// strictest deployment allows a change.
-  static constexpr milliseconds k_longest_silence{900};
+  /// After this long without an answer from the store, a node may have missed changes. Allows three
+  /// probes; together with the replacement of a relay (one second) it stays below the two seconds
+  /// in which a change must take effect.
+  static constexpr milliseconds k_max_silence{900};
 
   store_source(asio::io_context& context, kv::record_store& store, topic_prefixes prefixes,
                source_callbacks callbacks);
 
-  void start() { spawn(context_, contact_loop()); }
-  /// Begins or ends to follow a topic.
-  void follow(topic one, bool wanted);
-  bool follows(topic one) const { return slot(one) != nullptr; }
+  void start() { spawn(context_, probe_loop()); }
+  /// Starts or stops following a topic.
+  void follow(topic topic_id, bool wanted);
+  bool follows(topic topic_id) const { return slot(topic_id) != nullptr; }
   bool follows_any() const;
-  /// Changes of a topic within this time are read together.
-  void set_pause(topic one, milliseconds pause);
-  /// Whether nothing of the topic is missing, as far as the store's last answer goes.
-  bool is_current(topic one, time_point now) const;
-  /// How long ago the store last answered the watch of a topic; nothing if it is not followed, or
-  /// was never answered.
-  std::optional<milliseconds> watch_age(topic one, time_point now) const;
-  /// When the store last answered: what was asked then. time_point::min(): never.
+  /// Sets the pause between watches of a topic; changes during it are read together.
+  void set_pause(topic topic_id, milliseconds pause);
+  /// Returns true if the topic is complete as of a recent answer of the store.
+  bool is_current(topic topic_id, time_point now) const;
+  /// Time since the store last answered the watch of a topic; nothing if the topic is not followed
+  /// or its watch was never answered.
+  std::optional<milliseconds> watch_age(topic topic_id, time_point now) const;
+  /// Send time of the last answered probe; time_point::min() if there was none.
   time_point confirmed_at() const { return confirmed_at_; }
-  /// Whether the store has not answered for k_longest_silence.
+  /// Returns true if the store has not answered for k_max_silence.
   bool is_silent() const { return silent_; }
-  /// Others know of a change of a topic up to this revision. If this node's own watch has not told
-  /// it soon, the watch's answer was lost, and the topic is read anew.
-  void expect(topic one, kv::revision change);
-  /// Reads all followed topics anew: a watch may have died unseen.
+  /// Records that peers know a change of a topic at this revision. If this node's own watch does
+  /// not deliver it in time, the watch is assumed dead and the topic is read again.
+  void expect(topic topic_id, kv::revision change);
+  /// Reads all followed topics again, in case a watch has died without an error.
   void resynchronize(std::string_view cause);
 
  private:
-  std::shared_ptr<kv::follower>& slot(topic one) { return followers_[index_of(one)]; }
-  std::shared_ptr<kv::follower> const& slot(topic one) const { return followers_[index_of(one)]; }
-  /// Asks the store for a sign of life while a topic is followed.
-  awaitable<void> contact_loop();
-  void note_contact(bool answered, time_point asked);
-  void note_silent_watch(topic one);
-  awaitable<void> check_expected(topic one);
+  std::shared_ptr<kv::follower>& slot(topic topic_id) { return followers_[index_of(topic_id)]; }
+  std::shared_ptr<kv::follower> const& slot(topic topic_id) const {
+    return followers_[index_of(topic_id)];
+  }
+  /// Probes the store while any topic is followed.
+  awaitable<void> probe_loop();
+  void note_probe(bool answered, time_point sent_at);
+  void note_watch_timeout(topic topic_id);
+  awaitable<void> check_expected(topic topic_id);
 
   asio::io_context& context_;
   kv::record_store& store_;
@@ -74,9 +75,9 @@
   source_callbacks callbacks_;
   std::array<std::shared_ptr<kv::follower>, k_topics.size()> followers_;
   std::array<milliseconds, k_topics.size()> pauses_{};
-  /// The newest change of a topic that others know of, while it is waited for; 0: none.
+  /// Newest revision that peers know of each topic and this node's watch still lacks; 0 if none.
   std::array<kv::revision, k_topics.size()> expected_{};
-  async_condition wanted_;
+  async_condition follow_started_;
   time_point confirmed_at_ = time_point::min();
   bool silent_ = false;
 };
--- a/src/relay/topic_views.h
+++ b/src/relay/topic_views.h
@@ -1,4 +1,4 @@
-/// @file This node's views of all topics, with whom they tell their changes. Pure.
+/// @file This node's views of all topics and the listeners for their changes. Performs no I/O.
 #pragma once
 
 #include <algorithm>
@@ -15,44 +15,47 @@
 
 class topic_views {
  public:
-  /// @param servers_traits null: all servers' records concern everybody.
+  /// @param servers_traits if null, every selection includes all servers' records.
   explicit topic_views(trait_reader servers_traits);
 
-  /// The first snapshot of a topic is told whole, and one of another part of its records;
-  /// everything else as events, nothing of it twice.
-  void listen(topic one, kv::follower_callbacks listener) {
-    listeners_[index_of(one)] = std::move(listener);
+  /// Sets the listener of a topic. It receives a snapshot at first and whenever the selection
+  /// changes, and otherwise each change once as an event.
+  void listen(topic topic_id, kv::follower_callbacks listener) {
+    listeners_[index_of(topic_id)] = std::move(listener);
   }
-  /// Runs after each change that other nodes should hear of.
+  /// Called after each change that polling nodes should receive.
   void on_change(std::function<void()> listener) { changed_ = std::move(listener); }
 
-  /// @param held what `all` was selected by.
-  void take_snapshot(topic one, kv::range_answer const& all, record_selection const& held = {});
-  void take_event(topic one, kv::watch_event const& event);
-  /// Drops what `held` does not include, if the view holds all that it includes.
-  void narrow(topic one, record_selection const& held);
-  /// Nothing else of the topic has changed up to this revision.
-  void advance(topic one, kv::revision at) { views_[index_of(one)].advance(at); }
-  /// At this time the topic was complete.
-  void confirm(topic one, time_point when);
-
-  record_view const& view(topic one) const { return views_[index_of(one)]; }
-  time_point confirmed_at(topic one) const { return confirmed_at_[index_of(one)]; }
-  /// The store answered again at this time after a silence, to this node or another one.
-  void note_store_back(time_point when) { store_back_at_ = std::max(store_back_at_, when); }
-  time_point store_recovered_at() const { return store_back_at_; }
+  /// @param selection the records that the view holds from now on.
+  void take_snapshot(topic topic_id, kv::range_answer const& all,
+                     record_selection const& selection = {});
+  void take_event(topic topic_id, kv::watch_event const& event);
+  /// Reduces the view to `selection` if its present selection covers that.
+  void narrow(topic topic_id, record_selection const& selection);
+  /// Marks a topic as complete up to a revision.
+  void advance(topic topic_id, kv::revision at) { views_[index_of(topic_id)].advance(at); }
+  /// Records that a topic was complete at `when`.
+  void confirm(topic topic_id, time_point when);
+
+  record_view const& view(topic topic_id) const { return views_[index_of(topic_id)]; }
+  time_point confirmed_at(topic topic_id) const { return confirmed_at_[index_of(topic_id)]; }
+  /// Records that the store became reachable again at `when`, for this node or a peer.
+  void note_store_recovery(time_point when) {
+    store_recovered_at_ = std::max(store_recovered_at_, when);
+  }
+  time_point store_recovered_at() const { return store_recovered_at_; }
   bool all_loaded() const;
-  /// Changes and first snapshots that were told, of all topics.
+  /// Number of events and snapshots delivered, over all topics.
   std::uint64_t changes() const { return changes_; }
 
  private:
-  void tell(topic one, std::vector<kv::watch_event> const& news);
-  void tell_dropped(topic one, std::vector<std::string> const& keys);
+  void notify_events(topic topic_id, std::vector<kv::watch_event> const& events);
+  void notify_dropped(topic topic_id, std::vector<std::string> const& keys);
 
   std::array<record_view, k_topics.size()> views_;
   std::array<kv::follower_callbacks, k_topics.size()> listeners_;
   std::array<time_point, k_topics.size()> confirmed_at_;
-  time_point store_back_at_ = time_point::min();
+  time_point store_recovered_at_ = time_point::min();
   std::function<void()> changed_;
   std::uint64_t changes_ = 0;
 };
--- a/src/relay/zone_record.cc
+++ b/src/relay/zone_record.cc
@@ -8,14 +8,14 @@
 constexpr std::string_view k_part = "relay";
 constexpr milliseconds k_write_timeout{600};
 
-kv::operation write_put(std::string const& key, std::string const& value) {
+kv::operation make_put(std::string const& key, std::string const& value) {
   kv::operation put;
   put.key = key;
   put.value = value;
   return put;
 }
 
-kv::operation write_removal(std::string const& key) {
+kv::operation make_removal(std::string const& key) {
   kv::operation removal;
   removal.kind = kv::operation_kind::remove;
   removal.key = key;
@@ -24,14 +24,14 @@
 
 }  // namespace
 
-awaitable<bool> zone_record::claim(kv::revision replaced) {
+awaitable<bool> relay_registration::claim(kv::revision replaced) {
   std::string const key = zone_relays::key_of(self_.zone);
   kv::key_value entry;
   entry.key = key;
   entry.value = zone_relays::encode(self_);
   kv::transaction change;
   change.compares.push_back({key, replaced});
-  change.on_success.push_back(write_put(key, entry.value));
+  change.on_success.push_back(make_put(key, entry.value));
   auto const outcome = co_await store_.apply(std::move(change), k_write_timeout);
   log_line(log_level::info, k_part, "Zone's record claimed.",
            {{"zone", self_.zone},
@@ -51,17 +51,17 @@
   co_return true;
 }
 
-awaitable<bool> zone_record::hand_on(std::optional<zone_relay> next) {
+awaitable<bool> relay_registration::hand_over(std::optional<zone_relay> next) {
   std::string const key = zone_relays::key_of(self_.zone);
   kv::key_value entry;
   entry.key = key;
   if (next) entry.value = zone_relays::encode(*next);
   kv::transaction change;
   change.compares.push_back({key, relays_.revision_of(self_.zone)});
-  change.on_success.push_back(next ? write_put(key, entry.value) : write_removal(key));
+  change.on_success.push_back(next ? make_put(key, entry.value) : make_removal(key));
   auto const outcome = co_await store_.apply(std::move(change), k_write_timeout);
   bool const done = outcome && outcome.value().succeeded;
-  log_line(log_level::info, k_part, "Zone's record handed on.",
+  log_line(log_level::info, k_part, "Zone's record handed over.",
            {{"zone", self_.zone},
             {"to", next ? next->node : std::string("nobody")},
             {"done", done ? "yes" : "no"}});
--- a/src/relay/zone_record.h
+++ b/src/relay/zone_record.h
@@ -1,5 +1,5 @@
-/// @file The record of the store that names a zone's relay: claimed by compare-and-swap, and handed
-/// on by a relay that stops.
+/// @file Writes the store record that names a zone's relay. Nodes claim it by compare-and-swap; a
+/// relay that stops hands it over.
 #pragma once
 
 #include <optional>
@@ -10,18 +10,20 @@
 
 namespace frostline::relay {
 
-class zone_record {
+class relay_registration {
  public:
-  /// @param relays what is known of relays; learns what a change shows. Outlives this.
-  /// @param self this node as its zone's relay.
-  zone_record(kv::record_store& store, zone_relays& relays, zone_relay self)
+  /// @param relays updated with the results of writes. Must outlive this object.
+  /// @param self record content that names this node.
+  relay_registration(kv::record_store& store, zone_relays& relays, zone_relay self)
       : store_(store), relays_(relays), self_(std::move(self)) {}
 
-  /// Names this node in the place of whoever the record at `replaced` names; 0: nobody.
-  /// @return whether the store has answered, so that `relays` may have changed.
+  /// Makes this node the zone's relay.
+  /// @param replaced revision that the record must still have; 0 if it must not exist.
+  /// @return true if the store answered, in which case `relays` may have changed.
   awaitable<bool> claim(kv::revision replaced);
-  /// Names another node of the zone, or nobody. @return whether `relays` has changed.
-  awaitable<bool> hand_on(std::optional<zone_relay> next);
+  /// Names another node of the zone as relay, or deletes the record.
+  /// @return true if `relays` has changed.
+  awaitable<bool> hand_over(std::optional<zone_relay> next);
 
  private:
   kv::record_store& store_;
--- a/src/relay/zone_relays.cc
+++ b/src/relay/zone_relays.cc
@@ -24,17 +24,17 @@
 
 std::string zone_relays::key_of(std::string const& zone) { return records_prefix() + zone; }
 
-std::string zone_relays::encode(zone_relay const& one) {
+std::string zone_relays::encode(zone_relay const& relay) {
   rpc::RelayRecordT record;
-  record.node = one.node;
-  record.zone = one.zone;
-  record.address = one.address.to_string();
+  record.node = relay.node;
+  record.zone = relay.zone;
+  record.address = relay.address.to_string();
   return rpc::encode(record);
 }
 
 void zone_relays::take(kv::watch_event const& event) {
   std::string const zone = event.entry.key.substr(k_prefix.size());
-  // A claim's own answer may be newer than what other nodes tell.
+  // The result of this node's own claim may be newer than a peer's records.
   if (event.entry.mod_revision <= revision_of(zone)) return;
   relays_.erase(zone);
   revisions_.erase(zone);
@@ -42,7 +42,8 @@
   revisions_[zone] = event.entry.mod_revision;
   auto relay = decode_relay(event.entry);
   if (!relay) {
-    log_line(log_level::error, k_part, "Relay's record is malformed; the zone counts as without.",
+    log_line(log_level::error, k_part,
+             "Relay record is malformed; treating the zone as having no relay.",
              {{"zone", zone}, {"revision", event.entry.mod_revision}});
     return;
   }
@@ -50,7 +51,7 @@
   relays_[zone] = std::move(*relay);
 }
 
-void zone_relays::take_all(kv::range_answer const& all) {
+void zone_relays::apply_all(kv::range_answer const& all) {
   relays_.clear();
   revisions_.clear();
   for (kv::key_value const& entry : all.entries) take({false, entry});
--- a/src/relay/zone_relays.h
+++ b/src/relay/zone_relays.h
@@ -1,6 +1,7 @@
-/// @file Which node relays records in which zone, as the record store says: one record a zone,
-/// without a lease. A record may name a node that is long gone; who finds that out replaces it.
-/// Nothing depends on there being only one relay, or any: it saves calls to the store. Pure.
+/// @file The relay of each zone according to the record store: one record per zone, without a
+/// lease. A record may name a node that no longer runs; nodes that notice replace it. Relays only
+/// save calls to the store: correctness does not depend on a zone having exactly one, or any.
+/// Performs no I/O.
 #pragma once
 
 #include <map>
@@ -15,9 +16,9 @@
 struct zone_relay {
   std::string zone;
   std::string node;
-  /// Where other nodes reach it.
+  /// Address for calls from other nodes.
   endpoint address;
-  /// Revision of its record, at which it can be replaced.
+  /// Revision of the record, expected by the write that replaces it.
   kv::revision revision = 0;
 };
 
@@ -25,15 +26,16 @@
  public:
   static std::string records_prefix();
   static std::string key_of(std::string const& zone);
-  static std::string encode(zone_relay const& one);
+  static std::string encode(zone_relay const& relay);
 
-  /// A malformed record is logged and counts as none; its revision stays known.
+  /// Applies a change. A malformed record is logged and ignored, but its revision is kept so that
+  /// the record can be replaced.
   void take(kv::watch_event const& event);
-  void take_all(kv::range_answer const& all);
+  void apply_all(kv::range_answer const& all);
 
   std::map<std::string, zone_relay> const& all() const { return relays_; }
   zone_relay const* find(std::string const& zone) const;
-  /// Revision at which a zone's record stands; 0: there is none.
+  /// Revision of a zone's record; 0 if there is none.
   kv::revision revision_of(std::string const& zone) const;
 
  private:
--- a/tests/unit/relay/peer_picker_test.cc
+++ b/tests/unit/relay/peer_picker_test.cc
@@ -1,4 +1,4 @@
-/// @file Which node is asked next for the newest records.
+/// @file Selection of the peer to poll next.
 
 #include "relay/peer_picker.h"
 
@@ -23,8 +23,8 @@
     relays.take(event);
   }
 
-  static picker_options options_of(std::string const& node) {
-    picker_options options;
+  static peer_picker_options options_of(std::string const& node) {
+    peer_picker_options options;
     options.node = node;
     options.zone = "a";
     options.self = at(9000);
@@ -33,7 +33,7 @@
   }
 };
 
-TEST(peer_picker_test, relay_of_the_own_zone_comes_first_then_others_then_seeds) {
+TEST(peer_picker_test, own_zones_relay_comes_first_then_other_relays_then_seeds) {
   add("a", "relay-a", 7001);
   add("b", "relay-b", 7002);
   peer_picker picker(options_of("node"));
@@ -44,34 +44,34 @@
   CHECK(all.at(2) == at(8001));
 }
 
-TEST(peer_picker_test, never_asks_itself) {
+TEST(peer_picker_test, never_selects_itself) {
   add("a", "node", 9000);
   peer_picker picker(options_of("node"));
   CHECK(picker.candidates(relays) == std::vector<endpoint>{at(8001)});
 }
 
-TEST(peer_picker_test, node_that_failed_is_passed_over_for_a_while) {
+TEST(peer_picker_test, failed_peer_is_skipped_for_a_backoff) {
   add("a", "relay-a", 7001);
   add("b", "relay-b", 7002);
   peer_picker picker(options_of("node"));
   picker.note_failure(at(7001), now);
   CHECK(picker.pick(relays, now) == at(7002));
-  CHECK(picker.pick(relays, now + picker_options().failure_pause) == at(7001));
+  CHECK(picker.pick(relays, now + peer_picker_options().failure_backoff) == at(7001));
   picker.note_failure(at(7001), now);
   picker.note_success(at(7001));
   CHECK(picker.pick(relays, now) == at(7001));
 }
 
-TEST(peer_picker_test, node_that_was_not_sure_is_asked_again_sooner_than_one_that_failed) {
+TEST(peer_picker_test, non_authoritative_peer_is_skipped_for_less_time_than_a_failed_one) {
   add("a", "relay-a", 7001);
   peer_picker picker(options_of("node"));
-  picker.note_doubt(at(7001), now);
+  picker.note_not_authoritative(at(7001), now);
   CHECK(picker.pick(relays, now) == at(8001));
-  CHECK(picker.pick(relays, now + picker_options().doubt_pause) == at(7001));
-  CHECK(picker_options().doubt_pause < picker_options().failure_pause);
+  CHECK(picker.pick(relays, now + peer_picker_options().not_authoritative_backoff) == at(7001));
+  CHECK(peer_picker_options().not_authoritative_backoff < peer_picker_options().failure_backoff);
 }
 
-TEST(peer_picker_test, nobody_is_picked_when_all_have_failed) {
+TEST(peer_picker_test, selects_nothing_when_all_peers_have_failed) {
   add("a", "relay-a", 7001);
   peer_picker picker(options_of("node"));
   picker.note_failure(at(7001), now);
@@ -79,7 +79,7 @@
   CHECK_FALSE(picker.pick(relays, now).has_value());
 }
 
-TEST(peer_picker_test, nodes_of_a_zone_without_a_relay_spread_over_the_others) {
+TEST(peer_picker_test, nodes_of_a_zone_without_a_relay_spread_over_other_relays) {
   add("b", "relay-b", 7002);
   add("c", "relay-c", 7003);
   add("d", "relay-d", 7004);
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -1,5 +1,5 @@
-/// @file Several nodes keep their views of one store's records in step through relays, while
-/// relays, the store and ways to it fail.
+/// @file Several nodes keep their views current through relays while relays, the store or the
+/// connections to it fail.
 
 #include "relay/record_feed.h"
 
@@ -23,12 +23,12 @@
 namespace {
 
 constexpr char k_configuration[] = "op/config";
-/// What the strictest deployment allows a change to be in force everywhere.
+/// Time in which a change must take effect on all nodes.
 constexpr milliseconds k_bound{2000};
-/// Nothing here takes that long unless it never comes.
-constexpr seconds k_patience{20};
+/// Limit on all waits of these tests.
+constexpr seconds k_timeout{20};
 
-/// One node: its way to the store, its server for other nodes, and its feed.
+/// A node: its connection to the store, its server for other nodes, and its feed.
 struct test_node {
   test_node(asio::io_context& context, memory_record_store& shared, std::string name,
             std::string const& zone, endpoint address, std::vector<endpoint> seeds,
@@ -66,8 +66,8 @@
     feed->start();
   }
 
-  /// From now on it answers no other node, as a process that stands still.
-  void fall_silent() { silent = true; }
+  /// Stops answering other nodes, like a suspended process.
+  void stop_answering() { silent = true; }
 
   awaitable<http::response> handle(http::request message) {
     auto answer = co_await methods.handle(std::move(message));
@@ -95,7 +95,7 @@
   std::string address = testing::own_loopback_address();
   std::deque<endpoint> addresses;
   std::vector<std::unique_ptr<test_node>> nodes;
-  /// Servers whose value is one of these are wanted by all nodes; nothing: all servers.
+  /// Groups of servers that all nodes want; a server's value is its group. Unset: all servers.
   std::optional<std::set<std::string>> wanted_groups;
 
   void setup() override {
@@ -113,7 +113,7 @@
     context.run_for(milliseconds(50));
   }
 
-  /// The first node of all is the seed.
+  /// Starts a node. The first one is the seed.
   test_node& add(std::string const& zone) {
     std::size_t const index = nodes.size();
     nodes.push_back(std::make_unique<test_node>(
@@ -124,7 +124,7 @@
   }
 
   bool run_until(std::function<bool()> const& condition) {
-    time_point const deadline = boot_clock::now() + k_patience;
+    time_point const deadline = boot_clock::now() + k_timeout;
     while (!condition()) {
       if (boot_clock::now() > deadline) return false;
       context.run_for(milliseconds(2));
@@ -135,13 +135,13 @@
   bool all_have(std::string const& configuration) {
     return run_until([&] {
       return std::all_of(nodes.begin(), nodes.end(),
-                         [&](auto const& one) { return one->configuration == configuration; });
+                         [&](auto const& node) { return node->configuration == configuration; });
     });
   }
 
   std::size_t count(feed_role role) {
     return static_cast<std::size_t>(std::count_if(
-        nodes.begin(), nodes.end(), [&](auto const& one) { return one->feed->role() == role; }));
+        nodes.begin(), nodes.end(), [&](auto const& node) { return node->feed->role() == role; }));
   }
 
   test_node* relay_of(std::string const& zone) {
@@ -154,7 +154,7 @@
     return nullptr;
   }
 
-  /// Two zones of three nodes, each with its relay, and nobody else at the store.
+  /// Starts two zones of three nodes and waits until only the two relays follow the store.
   void start_two_zones() {
     for (int node = 0; node < 3; ++node) {
       add("a");
@@ -165,19 +165,20 @@
              count(feed_role::standby) == 4;
     }));
     CHECK(all_have("1"));
-    // Who has not heard of its zone's relay yet may be about to claim the record, in vain.
+    // A node that does not know its zone's relay yet might still try to claim the record.
     CHECK(run_until([&] {
-      return std::all_of(nodes.begin(), nodes.end(),
-                         [](auto const& one) { return one->feed->relay_addresses(2).size() == 2; });
+      return std::all_of(nodes.begin(), nodes.end(), [](auto const& node) {
+        return node->feed->relay_addresses(2).size() == 2;
+      });
     }));
   }
 
-  std::uint64_t calls_of(test_node const& one) {
-    return one.store.lists() + one.store.watches() + one.store.transactions();
+  std::uint64_t calls_of(test_node const& node) {
+    return node.store.lists() + node.store.watches() + node.store.transactions();
   }
 };
 
-TEST(record_feed_test, one_node_of_each_zone_follows_the_store_and_the_others_hear_of_changes) {
+TEST(record_feed_test, one_node_of_each_zone_follows_the_store_and_the_others_poll_it) {
   start_two_zones();
   std::vector<std::uint64_t> before;
   for (auto const& node : nodes) before.push_back(calls_of(*node));
@@ -190,7 +191,7 @@
   CHECK(nodes.front()->feed->age(boot_clock::now()) < k_bound);
 }
 
-TEST(record_feed_test, node_that_starts_later_asks_the_store_for_nothing) {
+TEST(record_feed_test, node_that_starts_later_does_not_call_the_store) {
   start_two_zones();
   test_node& late = add("a");
   CHECK(all_have("1"));
@@ -198,33 +199,33 @@
   LONGS_EQUAL(0, calls_of(late));
 }
 
-TEST(record_feed_test, change_is_known_in_time_when_a_relay_is_cut_off_from_the_store) {
+TEST(record_feed_test, change_arrives_in_time_when_a_relay_is_cut_off_from_the_store) {
   start_two_zones();
   test_node& cut = *relay_of("a");
   cut.store.set_cut(true);
   time_point const begin = boot_clock::now();
   shared.put_now(k_configuration, "2");
-  // The relay itself hears of it from the other zone's.
+  // The relay itself receives the change from the other zone's relay.
   CHECK(all_have("2"));
   CHECK(boot_clock::now() - begin < k_bound);
   CHECK(run_until([&] { return relay_of("a") != &cut && relay_of("a") != nullptr; }));
   CHECK(run_until([&] { return cut.feed->role() == feed_role::standby; }));
 }
 
-TEST(record_feed_test, change_is_known_when_all_relays_are_cut_off_from_the_store) {
+TEST(record_feed_test, change_arrives_when_all_relays_are_cut_off_from_the_store) {
   start_two_zones();
   for (std::string const zone : {"a", "b"}) relay_of(zone)->store.set_cut(true);
   shared.put_now(k_configuration, "2");
   time_point const begin = boot_clock::now();
   CHECK(all_have("2"));
-  // Relays are not sure after 0.9 s. Others then wait half a second, look twice whether the store
-  // serves them, up to 0.9 s apart, and pause up to 0.3 s before each look: 2.9 s, and the calls.
+  // Relays lose authority after 0.9 s. Other nodes then wait 0.5 s and probe the store twice, up to
+  // 0.9 s apart and each after a pause of up to 0.3 s: 2.9 s plus the calls.
   CHECK(boot_clock::now() - begin < milliseconds(4000));
 }
 
-TEST(record_feed_test, relays_that_do_not_know_each_other_are_no_hindrance) {
+TEST(record_feed_test, change_reaches_a_cut_off_relay_that_does_not_know_a_new_relay) {
   start_two_zones();
-  // Zone c's relay is claimed while zone a's relay, the seed, hears nothing from the store.
+  // Zone c gets its relay while zone a's relay, the seed, is cut off from the store.
   relay_of("a")->store.set_cut(true);
   add("c");
   CHECK(run_until([&] { return relay_of("c") != nullptr; }));
@@ -232,10 +233,10 @@
   CHECK(all_have("2"));
 }
 
-TEST(record_feed_test, relay_that_is_gone_is_replaced_and_changes_are_known_in_time) {
+TEST(record_feed_test, failed_relay_is_replaced_and_changes_arrive_in_time) {
   start_two_zones();
   test_node& gone = *relay_of("b");
-  gone.fall_silent();
+  gone.stop_answering();
   gone.store.set_cut(true);
   time_point const begin = boot_clock::now();
   shared.put_now(k_configuration, "2");
@@ -244,23 +245,23 @@
   CHECK(run_until([&] { return relay_of("b") != &gone; }));
 }
 
-TEST(record_feed_test, stopped_relay_frees_its_record_and_another_takes_it) {
+TEST(record_feed_test, stopping_relay_is_replaced_and_still_receives_changes) {
   start_two_zones();
   test_node& stopped = *relay_of("a");
   spawn(context, stopped.feed->leave());
   CHECK(run_until([&] { return relay_of("a") != nullptr && relay_of("a") != &stopped; }));
   shared.put_now(k_configuration, "2");
-  // It serves those who are in, so it has to hear of changes, too.
+  // The stopping node still finishes requests, so it must receive changes, too.
   CHECK(all_have("2"));
 }
 
-TEST(record_feed_test, stopped_relay_names_who_follows_it_before_anybody_claims) {
+TEST(record_feed_test, stopping_relay_hands_over_its_record_without_a_claim) {
   start_two_zones();
   std::uint64_t claims = 0;
   for (auto const& node : nodes) claims += node->feed->counters().claims;
   for (int stop = 0; stop < 2; ++stop) {
     test_node& stopped = *relay_of("a");
-    // One that was named a moment ago has not been asked by anybody: it frees its record.
+    // A relay that no node has polled yet would delete its record instead.
     CHECK(run_until([&] { return stopped.feed->has_successor(boot_clock::now()); }));
     spawn(context, stopped.feed->leave());
     CHECK(run_until([&] { return relay_of("a") != nullptr && relay_of("a") != &stopped; }));
@@ -271,7 +272,7 @@
   LONGS_EQUAL(0, claims);
 }
 
-TEST(record_feed_test, outage_of_the_store_sends_no_node_but_the_relays_to_it) {
+TEST(record_feed_test, during_an_outage_only_relays_call_the_store) {
   start_two_zones();
   std::vector<std::uint64_t> before;
   for (auto const& node : nodes) before.push_back(calls_of(*node));
@@ -287,29 +288,29 @@
   shared.set_down(false);
   shared.put_now(k_configuration, "2");
   CHECK(all_have("2"));
-  for (kv::key_value const& one : relays)
-    LONGS_EQUAL(one.mod_revision, shared.revision_of(one.key));
+  for (kv::key_value const& record : relays)
+    LONGS_EQUAL(record.mod_revision, shared.revision_of(record.key));
   for (auto const& node : nodes) CHECK(node->feed->counters().claims <= 1);
 }
 
-TEST(record_feed_test, relay_tells_that_the_store_is_back) {
+TEST(record_feed_test, relay_reports_the_recovery_of_the_store) {
   start_two_zones();
-  int told = 0;
-  relay_of("a")->feed->on_store_recovered([&told] { ++told; });
+  int notifications = 0;
+  relay_of("a")->feed->on_store_recovered([&notifications] { ++notifications; });
   relay_of("a")->store.set_cut(true);
   test_node& cut = *relay_of("a");
   CHECK(run_until([&] { return relay_of("a") != &cut; }));
-  LONGS_EQUAL(0, told);
+  LONGS_EQUAL(0, notifications);
   test_node& relay = *relay_of("a");
-  relay.feed->on_store_recovered([&told] { ++told; });
+  relay.feed->on_store_recovered([&notifications] { ++notifications; });
   shared.set_down(true);
-  time_point const end = boot_clock::now() + store_source::k_longest_silence + seconds(1);
+  time_point const end = boot_clock::now() + store_source::k_max_silence + seconds(1);
   while (boot_clock::now() < end) context.run_for(milliseconds(10));
   shared.set_down(false);
-  CHECK(run_until([&] { return told > 0; }));
+  CHECK(run_until([&] { return notifications > 0; }));
 }
 
-TEST(record_feed_test, node_that_starts_in_an_outage_hears_what_was_last_known) {
+TEST(record_feed_test, node_that_starts_in_an_outage_gets_the_last_known_records) {
   start_two_zones();
   shared.set_down(true);
   test_node& late = add("b");
@@ -321,7 +322,7 @@
   add("a");
   add("a");
   CHECK(run_until([&] { return relay_of("a") == nodes[0].get() && all_have("1"); }));
-  nodes[0]->fall_silent();
+  nodes[0]->stop_answering();
   CHECK(run_until([&] { return relay_of("a") == nodes[1].get(); }));
   test_node& late = add("a");
   CHECK(run_until([&] { return late.configuration == "1"; }));
@@ -329,9 +330,9 @@
   CHECK(late.feed->is_trusted(boot_clock::now()));
 }
 
-TEST(record_feed_test, node_that_no_relay_answers_follows_the_store_until_one_does) {
+TEST(record_feed_test, node_without_a_relay_follows_the_store_until_one_answers) {
   start_two_zones();
-  for (std::string const zone : {"a", "b"}) relay_of(zone)->fall_silent();
+  for (std::string const zone : {"a", "b"}) relay_of(zone)->stop_answering();
   shared.put_now(k_configuration, "2");
   CHECK(all_have("2"));
   CHECK(run_until([&] {
@@ -341,7 +342,7 @@
   CHECK(all_have("3"));
 }
 
-TEST(record_feed_test, relays_hear_of_servers_from_a_pools_owner) {
+TEST(record_feed_test, relays_receive_servers_from_a_pools_owner) {
   start_two_zones();
   std::size_t index = 0;
   while (nodes.at(index)->feed->role() != feed_role::standby) ++index;
@@ -353,33 +354,34 @@
   shared.put_now("servers/1", "draining");
   CHECK(run_until([&] {
     return std::all_of(nodes.begin(), nodes.end(),
-                       [](auto const& one) { return one->server_value == "draining"; });
+                       [](auto const& node) { return node->server_value == "draining"; });
   }));
-  // Until they know an owner, relays watch the servers at the store; such a watch ends with the
+  // Until they know an owner, relays watch the servers at the store. Such a watch ends with the
   // first change.
   CHECK(run_until([&] {
     auto const before = relay_of("a")->store.watches();
     shared.put_now("servers/1", "draining again");
-    bool const told = run_until([&] { return relay_of("a")->server_value == "draining again"; });
+    bool const received =
+        run_until([&] { return relay_of("a")->server_value == "draining again"; });
     shared.put_now("servers/1", "draining");
-    bool const back = run_until([&] { return relay_of("a")->server_value == "draining"; });
-    return told && back && relay_of("a")->store.watches() == before;
+    bool const restored = run_until([&] { return relay_of("a")->server_value == "draining"; });
+    return received && restored && relay_of("a")->store.watches() == before;
   }));
-  owner.fall_silent();
+  owner.stop_answering();
   shared.put_now("servers/1", "gone soon");
   CHECK(run_until([&] {
     return std::all_of(nodes.begin(), nodes.end(),
-                       [&](auto const& one) { return one->server_value == "gone soon"; });
+                       [&](auto const& node) { return node->server_value == "gone soon"; });
   }));
 }
 
-TEST(record_feed_test, watch_that_has_not_told_what_others_know_is_begun_anew) {
+TEST(record_feed_test, watch_that_misses_a_change_known_to_peers_is_restarted) {
   test_node& first = add("a");
   test_node& second = add("b");
   CHECK(run_until([&] { return relay_of("a") == &first && relay_of("b") == &second; }));
   CHECK(run_until([&] { return count(feed_role::relay) == 2; }));
   CHECK(all_have("1"));
-  // What the others hear of meanwhile comes to it from them; its own watch waits for ten seconds.
+  // The change arrives from the other relay while the node's own watch waits for ten seconds.
   first.store.set_deaf(true);
   std::uint64_t const before = first.store.lists();
   time_point const begin = boot_clock::now();
@@ -389,22 +391,22 @@
   first.store.set_deaf(false);
 }
 
-TEST(record_feed_test, watches_begin_anew_beside_one_that_was_not_answered) {
+TEST(record_feed_test, unanswered_watch_restarts_all_watches) {
   test_node& only = add("a");
   CHECK(run_until([&] { return count(feed_role::relay) == 1; }));
   CHECK(all_have("1"));
   only.store.set_deaf(true);
   std::uint64_t const before = only.store.lists();
   shared.put_now(k_configuration, "2");
-  // The configuration's, and the other four that may have gone silent with it.
+  // The configuration's watch and those of the other four topics, which may be dead as well.
   CHECK(run_until([&] { return only.store.lists() >= before + 5; }));
   only.store.set_deaf(false);
   CHECK(all_have("2"));
 }
 
-TEST(record_feed_test, node_that_becomes_owner_while_it_waits_for_a_part_holds_everything) {
-  // The answer that is under way is of the servers that calls need.
-  for (int one = 2; one < 300; ++one) shared.put_now("servers/" + std::to_string(one), "calls");
+TEST(record_feed_test, node_that_becomes_owner_during_a_poll_for_a_subset_holds_all_servers) {
+  // The answer in flight holds only the servers that calls need.
+  for (int id = 2; id < 300; ++id) shared.put_now("servers/" + std::to_string(id), "calls");
   shared.put_now("servers/engine", "engines");
   wanted_groups = {"calls"};
   start_two_zones();
@@ -416,8 +418,8 @@
   LONGS_EQUAL(0, owner.feed->view(topic::SERVERS).group_size("engines"));
   owner.feed->set_owner(true);
   CHECK(run_until([&] { return owner.feed->view(topic::SERVERS).group_size("engines") == 1; }));
-  // More than doubles the group, so that every part is another one.
-  for (int one = 1000; one < 1600; ++one) shared.put_now("servers/" + std::to_string(one), "calls");
+  // More than doubles the group, so that all divisors change.
+  for (int id = 1000; id < 1600; ++id) shared.put_now("servers/" + std::to_string(id), "calls");
   shared.put_now("servers/engine-2", "engines");
   CHECK(run_until([&] {
     return owner.feed->view(topic::SERVERS).group_size("engines") == 2 &&
@@ -428,18 +430,19 @@
 }
 
 TEST(record_feed_test, nodes_without_a_relay_leave_a_long_list_of_servers_to_the_next_relay) {
-  // Thundering herd: all nodes start at once, and nobody who knows the servers answers them.
-  for (int one = 2; one < 300; ++one) shared.put_now("servers/" + std::to_string(one), "calls");
+  // Guards against a thundering herd: all nodes start at once without a peer that knows the
+  // servers.
+  for (int id = 2; id < 300; ++id) shared.put_now("servers/" + std::to_string(id), "calls");
   shared.set_page(100);
   wanted_groups = {"calls"};
   test_node& seed = add("a");
-  seed.fall_silent();
+  seed.stop_answering();
   seed.store.set_cut(true);
   for (int node = 0; node < 5; ++node) add("a");
   CHECK(run_until([&] { return count(feed_role::relay) == 1; }));
   CHECK(run_until([&] {
-    return std::all_of(nodes.begin() + 1, nodes.end(), [](auto const& one) {
-      return one->feed->view(topic::SERVERS).group_size("calls") > 60;
+    return std::all_of(nodes.begin() + 1, nodes.end(), [](auto const& node) {
+      return node->feed->view(topic::SERVERS).group_size("calls") > 60;
     });
   }));
   std::size_t readers = 0;
@@ -449,9 +452,9 @@
   LONGS_EQUAL(1, readers);
 }
 
-TEST(record_feed_test,
-     nodes_that_start_all_at_once_read_from_the_store_who_relays_and_nothing_else) {
-  // Thundering herd: all machines are back at once, the seeds last, and the zones' records stand.
+TEST(record_feed_test, nodes_that_start_at_once_read_only_the_relay_records_from_the_store) {
+  // Guards against a thundering herd: all machines restart at once, the seeds last, and the relay
+  // records still exist.
   start_two_zones();
   test_node& silent_seed = *nodes.front();
   CHECK(run_until([&] {
@@ -459,17 +462,17 @@
   }));
   spawn(context, silent_seed.feed->leave());
   CHECK(run_until([&] { return relay_of("a") != nullptr && relay_of("a") != &silent_seed; }));
-  silent_seed.fall_silent();
+  silent_seed.stop_answering();
   std::vector<test_node*> late;
   for (int node = 0; node < 2; ++node) late.push_back(&add("a"));
   CHECK(run_until([&] {
     return std::all_of(late.begin(), late.end(),
-                       [](test_node* one) { return one->configuration == "1"; });
+                       [](test_node* node) { return node->configuration == "1"; });
   }));
-  for (test_node* one : late) {
-    LONGS_EQUAL(1, one->store.lists());
-    LONGS_EQUAL(0, one->store.watches());
-    LONGS_EQUAL(0, one->feed->counters().store_fallbacks);
+  for (test_node* node : late) {
+    LONGS_EQUAL(1, node->store.lists());
+    LONGS_EQUAL(0, node->store.watches());
+    LONGS_EQUAL(0, node->feed->counters().store_fallbacks);
   }
 }
 
@@ -482,16 +485,16 @@
   }
   time_point const begin = boot_clock::now();
   CHECK(all_have("1"));
-  // A question waits for 0.7 s.
+  // A poll that waits takes 0.7 s.
   CHECK(boot_clock::now() - begin < milliseconds(500));
 }
 
-TEST(record_feed_test, node_that_becomes_a_relay_reads_what_its_zone_asks_it_for) {
-  // There is no owner that could tell it the rest.
-  for (int one = 2; one < 300; ++one) shared.put_now("servers/" + std::to_string(one), "calls");
+TEST(record_feed_test, node_that_becomes_a_relay_reads_whole_groups) {
+  // There is no owner from which the relay could get the other records.
+  for (int id = 2; id < 300; ++id) shared.put_now("servers/" + std::to_string(id), "calls");
   wanted_groups = {"calls"};
   test_node& seed = add("a");
-  seed.fall_silent();
+  seed.stop_answering();
   seed.store.set_cut(true);
   test_node& relay = add("a");
   CHECK(run_until([&] { return relay.feed->role() == feed_role::direct; }));
@@ -501,20 +504,20 @@
   CHECK(run_until([&] { return relay.feed->view(topic::SERVERS).group_size("calls") == 298; }));
 }
 
-TEST(record_feed_test, servers_of_a_service_that_is_called_from_now_on_are_read) {
+TEST(record_feed_test, servers_of_a_newly_wanted_group_are_read) {
   shared.put_now("servers/2", "new");
   wanted_groups = {"ready"};
   start_two_zones();
   CHECK(run_until([&] {
-    return std::all_of(nodes.begin(), nodes.end(), [](auto const& one) {
-      return one->feed->view(topic::SERVERS).group_size("ready") == 1;
+    return std::all_of(nodes.begin(), nodes.end(), [](auto const& node) {
+      return node->feed->view(topic::SERVERS).group_size("ready") == 1;
     });
   }));
   wanted_groups = {"ready", "new"};
   for (auto const& node : nodes) node->feed->note_wanted_servers();
   CHECK(run_until([&] {
-    return std::all_of(nodes.begin(), nodes.end(), [](auto const& one) {
-      return one->feed->view(topic::SERVERS).group_size("new") == 1;
+    return std::all_of(nodes.begin(), nodes.end(), [](auto const& node) {
+      return node->feed->view(topic::SERVERS).group_size("new") == 1;
     });
   }));
 }
--- a/tests/unit/relay/record_selection_test.cc
+++ b/tests/unit/relay/record_selection_test.cc
@@ -1,4 +1,4 @@
-/// @file Which part of a topic's records a node holds.
+/// @file Selection of the records of a topic that a node holds.
 
 #include "relay/record_selection.h"
 
@@ -9,20 +9,20 @@
 
 TEST_GROUP(record_selection_test){
     std::optional<record_traits> record(std::string const& group,
-                                        std::uint64_t place){return record_traits{group, place, 0};
+                                        std::uint64_t hash){return record_traits{group, hash, 0};
 }
 
-std::size_t count(record_selection const& held, std::size_t records) {
+std::size_t count(record_selection const& selection, std::size_t records) {
   std::size_t included = 0;
-  for (std::size_t place = 0; place < records; ++place) {
-    if (held.includes(record("calls", place))) ++included;
+  for (std::size_t hash = 0; hash < records; ++hash) {
+    if (selection.includes(record("calls", hash))) ++included;
   }
   return included;
 }
 }
 ;
 
-TEST(record_selection_test, everything_covers_all_and_nothing_else_covers_it) {
+TEST(record_selection_test, only_the_selection_of_everything_covers_everything) {
   record_selection const all;
   record_selection const calls("node", {{"calls", k_whole_group}});
   CHECK(all.covers(calls));
@@ -32,48 +32,48 @@
   CHECK_FALSE(calls.includes(record("engines", 4)));
 }
 
-TEST(record_selection_test, whole_group_covers_any_part_of_it_and_a_part_only_the_same) {
+TEST(record_selection_test, whole_group_covers_all_subsets_and_a_subset_only_itself) {
   record_selection const whole("relay", {{"calls", k_whole_group}});
-  record_selection const part("node", {{"calls", 8}});
-  CHECK(whole.covers(part));
-  CHECK(part.covers(part));
-  CHECK_FALSE(part.covers(whole));
-  CHECK_FALSE(part.covers(record_selection("other", {{"calls", 8}})));
+  record_selection const subset("node", {{"calls", 8}});
+  CHECK(whole.covers(subset));
+  CHECK(subset.covers(subset));
+  CHECK_FALSE(subset.covers(whole));
+  CHECK_FALSE(subset.covers(record_selection("other", {{"calls", 8}})));
   CHECK_FALSE(whole.covers(record_selection("node", {{"engines", 8}})));
 }
 
-TEST(record_selection_test, whole_groups_are_the_same_whoever_holds_them) {
+TEST(record_selection_test, selections_of_whole_groups_are_equal_across_nodes) {
   CHECK(record_selection("one", {{"calls", 1}}) == record_selection("other", {{"calls", 1}}));
   CHECK_FALSE(record_selection("one", {{"calls", 2}}) == record_selection("other", {{"calls", 2}}));
 }
 
-TEST(record_selection_test, smaller_part_lies_within_the_larger_one) {
+TEST(record_selection_test, subsets_of_a_node_are_nested) {
   record_selection const larger("node", {{"calls", 4}});
   record_selection const smaller("node", {{"calls", 8}});
-  for (std::uint64_t place = 0; place < 1000; ++place) {
-    if (smaller.includes(record("calls", place))) CHECK(larger.includes(record("calls", place)));
+  for (std::uint64_t hash = 0; hash < 1000; ++hash) {
+    if (smaller.includes(record("calls", hash))) CHECK(larger.includes(record("calls", hash)));
   }
 }
 
-TEST(record_selection_test, what_a_node_holds_does_not_grow_with_the_group) {
+TEST(record_selection_test, size_of_a_subset_is_bounded) {
   for (std::size_t const records : {700, 2222, 7777, 40'000}) {
-    record_selection const held("node", {{"calls", suitable_part(k_unknown_part, records)}});
-    std::size_t const included = count(held, records);
+    record_selection const selection("node", {{"calls", choose_subset(k_unknown_subset, records)}});
+    std::size_t const included = count(selection, records);
     CHECK(included >= 90 && included <= 330);
   }
 }
 
-TEST(record_selection_test, small_group_is_held_whole) {
+TEST(record_selection_test, small_group_is_selected_as_a_whole) {
   for (std::size_t const records : {0, 1, 60, 255}) {
-    LONGS_EQUAL(k_whole_group, suitable_part(k_unknown_part, records));
+    LONGS_EQUAL(k_whole_group, choose_subset(k_unknown_subset, records));
   }
 }
 
-TEST(record_selection_test, part_is_kept_while_the_group_changes_by_less_than_half) {
-  LONGS_EQUAL(16, suitable_part(k_unknown_part, 2222));
-  LONGS_EQUAL(16, suitable_part(16, 1600));
-  LONGS_EQUAL(16, suitable_part(16, 8000));
-  LONGS_EQUAL(8, suitable_part(16, 1500));
-  LONGS_EQUAL(64, suitable_part(16, 8300));
-  LONGS_EQUAL(1, suitable_part(k_whole_group, 500));
+TEST(record_selection_test, divisor_is_kept_while_the_subset_size_is_in_range) {
+  LONGS_EQUAL(16, choose_subset(k_unknown_subset, 2222));
+  LONGS_EQUAL(16, choose_subset(16, 1600));
+  LONGS_EQUAL(16, choose_subset(16, 8000));
+  LONGS_EQUAL(8, choose_subset(16, 1500));
+  LONGS_EQUAL(64, choose_subset(16, 8300));
+  LONGS_EQUAL(1, choose_subset(k_whole_group, 500));
 }
--- a/tests/unit/relay/zone_relays_test.cc
+++ b/tests/unit/relay/zone_relays_test.cc
@@ -1,4 +1,4 @@
-/// @file Which node relays records in which zone.
+/// @file The relay of each zone, as read from the store's records.
 
 #include "relay/zone_relays.h"
 
@@ -19,7 +19,7 @@
   }
 };
 
-TEST(zone_relays_test, tells_the_relay_of_a_zone_and_the_revision_of_its_record) {
+TEST(zone_relays_test, finds_the_relay_of_a_zone_and_its_revision) {
   relays.take(record("a", "node-1", 7));
   STRCMP_EQUAL("node-1", relays.find("a")->node.c_str());
   LONGS_EQUAL(7001, relays.find("a")->address.port);
@@ -28,13 +28,13 @@
   LONGS_EQUAL(0, relays.revision_of("b"));
 }
 
-TEST(zone_relays_test, older_news_does_not_undo_a_claim) {
+TEST(zone_relays_test, older_record_does_not_replace_a_newer_one) {
   relays.take(record("a", "node-2", 9));
   relays.take(record("a", "node-1", 7));
   STRCMP_EQUAL("node-2", relays.find("a")->node.c_str());
 }
 
-TEST(zone_relays_test, zone_whose_record_is_gone_has_no_relay) {
+TEST(zone_relays_test, zone_whose_record_is_deleted_has_no_relay) {
   relays.take(record("a", "node-1", 7));
   kv::watch_event gone = record("a", "node-1", 8);
   gone.deleted = true;
@@ -43,7 +43,7 @@
   LONGS_EQUAL(0, relays.revision_of("a"));
 }
 
-TEST(zone_relays_test, malformed_record_counts_as_no_relay_and_can_be_replaced) {
+TEST(zone_relays_test, malformed_record_is_no_relay_but_keeps_its_revision) {
   kv::watch_event bad = record("a", "node-1", 7);
   bad.entry.value = "garbage";
   relays.take(bad);
