--- a/src/relay/record_feed.cc
+++ b/src/relay/record_feed.cc
@@ -94,7 +94,7 @@
     note_relays();
   };
   on_relays.event = [this](kv::watch_event const& event) {
-    relays_.take(event);
+    relays_.apply(event);
     note_relays();
   };
   views_.listen(topic::RELAYS, std::move(on_relays));
--- a/src/relay/zone_record.cc
+++ b/src/relay/zone_record.cc
@@ -42,11 +42,11 @@
   if (!outcome) co_return false;
   if (outcome.value().succeeded) {
     entry.mod_revision = outcome.value().store_revision;
-    relays_.take({false, entry});
+    relays_.apply({false, entry});
     co_return true;
   }
   for (kv::key_value const& current : outcome.value().read) {
-    if (current.key == key) relays_.take({false, current});
+    if (current.key == key) relays_.apply({false, current});
   }
   co_return true;
 }
@@ -67,7 +67,7 @@
             {"done", done ? "yes" : "no"}});
   if (!done || !next) co_return false;
   entry.mod_revision = outcome.value().store_revision;
-  relays_.take({false, entry});
+  relays_.apply({false, entry});
   co_return true;
 }
 
--- a/src/relay/zone_relays.cc
+++ b/src/relay/zone_relays.cc
@@ -32,7 +32,7 @@
   return rpc::encode(record);
 }
 
-void zone_relays::take(kv::watch_event const& event) {
+void zone_relays::apply(kv::watch_event const& event) {
   std::string const zone = event.entry.key.substr(k_prefix.size());
   // The result of this node's own claim may be newer than a peer's records.
   if (event.entry.mod_revision <= revision_of(zone)) return;
@@ -54,7 +54,7 @@
 void zone_relays::apply_all(kv::range_answer const& all) {
   relays_.clear();
   revisions_.clear();
-  for (kv::key_value const& entry : all.entries) take({false, entry});
+  for (kv::key_value const& entry : all.entries) apply({false, entry});
 }
 
 zone_relay const* zone_relays::find(std::string const& zone) const {
--- a/src/relay/zone_relays.h
+++ b/src/relay/zone_relays.h
@@ -30,7 +30,7 @@
 
   /// Applies a change. A malformed record is logged and ignored, but its revision is kept so that
   /// the record can be replaced.
-  void take(kv::watch_event const& event);
+  void apply(kv::watch_event const& event);
   void apply_all(kv::range_answer const& all);
 
   std::map<std::string, zone_relay> const& all() const { return relays_; }
--- a/tests/unit/relay/peer_picker_test.cc
+++ b/tests/unit/relay/peer_picker_test.cc
@@ -20,7 +20,7 @@
     event.entry.key = zone_relays::key_of(zone);
     event.entry.value = zone_relays::encode({zone, node, at(port), 0});
     event.entry.mod_revision = port;
-    relays.take(event);
+    relays.apply(event);
   }
 
   static peer_picker_options options_of(std::string const& node) {
--- a/tests/unit/relay/zone_relays_test.cc
+++ b/tests/unit/relay/zone_relays_test.cc
@@ -20,7 +20,7 @@
 };
 
 TEST(zone_relays_test, finds_the_relay_of_a_zone_and_its_revision) {
-  relays.take(record("a", "node-1", 7));
+  relays.apply(record("a", "node-1", 7));
   STRCMP_EQUAL("node-1", relays.find("a")->node.c_str());
   LONGS_EQUAL(7001, relays.find("a")->address.port);
   LONGS_EQUAL(7, relays.revision_of("a"));
@@ -29,16 +29,16 @@
 }
 
 TEST(zone_relays_test, older_record_does_not_replace_a_newer_one) {
-  relays.take(record("a", "node-2", 9));
-  relays.take(record("a", "node-1", 7));
+  relays.apply(record("a", "node-2", 9));
+  relays.apply(record("a", "node-1", 7));
   STRCMP_EQUAL("node-2", relays.find("a")->node.c_str());
 }
 
 TEST(zone_relays_test, zone_whose_record_is_deleted_has_no_relay) {
-  relays.take(record("a", "node-1", 7));
+  relays.apply(record("a", "node-1", 7));
   kv::watch_event gone = record("a", "node-1", 8);
   gone.deleted = true;
-  relays.take(gone);
+  relays.apply(gone);
   POINTERS_EQUAL(nullptr, relays.find("a"));
   LONGS_EQUAL(0, relays.revision_of("a"));
 }
@@ -46,7 +46,7 @@
 TEST(zone_relays_test, malformed_record_is_no_relay_but_keeps_its_revision) {
   kv::watch_event bad = record("a", "node-1", 7);
   bad.entry.value = "garbage";
-  relays.take(bad);
+  relays.apply(bad);
   POINTERS_EQUAL(nullptr, relays.find("a"));
   LONGS_EQUAL(7, relays.revision_of("a"));
 }
