--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -256,16 +256,15 @@
 
 void forwarder::conclude_without_answer(journey& one) {
   if (one.from != nullptr && one.from->is_gone()) {
-    one.reason = give_up_reason::caller_left;
+    one.reason = call_failure::caller_left;
   } else if (boot_clock::now() >= one.deadline) {
-    one.reason =
-        one.may_have_run ? give_up_reason::deadline_unknown : give_up_reason::deadline_not_run;
+    one.reason = one.may_have_run ? call_failure::deadline_unknown : call_failure::deadline_not_run;
   } else if (one.may_have_run) {
-    one.reason = give_up_reason::outcome_unknown;
+    one.reason = call_failure::outcome_unknown;
   } else if (one.is_quarantined) {
-    one.reason = give_up_reason::quarantined;
+    one.reason = call_failure::quarantined;
   } else {
-    one.reason = one.was_refused ? give_up_reason::servers_full : give_up_reason::no_server;
+    one.reason = one.was_refused ? call_failure::servers_full : call_failure::no_server;
   }
 }
 
@@ -320,7 +319,7 @@
   ++counters_.requests;
   if (!table || !dependencies_.servers.is_loaded()) {
     ++counters_.given_up;
-    co_await from.answer(give_up_answer(give_up_reason::no_configuration));
+    co_await from.answer(give_up_answer(call_failure::no_configuration));
     co_return;
   }
   if (by == nullptr) {
@@ -332,7 +331,7 @@
               {"config", table->all().version},
               {"in_force_ms", milliseconds_since(table->in_force_since())},
               {"records_age_ms", dependencies_.records_age().count()}});
-    co_await from.answer(give_up_answer(give_up_reason::no_route));
+    co_await from.answer(give_up_answer(call_failure::no_route));
     co_return;
   }
   time_point const latest = std::min(deadline, boot_clock::now() + by->timeout);
@@ -344,7 +343,7 @@
     co_return;
   }
   call_outcome outcome = co_await run_whole(one);
-  if (outcome.reason != give_up_reason::none) {
+  if (outcome.reason != call_failure::none) {
     co_await answer_give_up(one);
     co_return;
   }
@@ -354,7 +353,7 @@
 }
 
 awaitable<void> forwarder::answer_give_up(journey& one) {
-  if (one.reason == give_up_reason::caller_left) {
+  if (one.reason == call_failure::caller_left) {
     ++counters_.callers_left;
   } else {
     ++counters_.given_up;
@@ -365,7 +364,7 @@
 }
 
 void forwarder::log_outcome(journey& one, unsigned status, std::string_view sentence) {
-  bool const given_up = one.reason != give_up_reason::none;
+  bool const given_up = one.reason != call_failure::none;
   log_line(log_level::info, k_part, sentence,
            {{"request", http::header(one.message, dependencies_.names.request_id)},
             {"route", one.by->name},
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -22,7 +22,7 @@
 
 /// What came of a call.
 struct call_outcome {
-  give_up_reason reason = give_up_reason::none;
+  call_failure reason = call_failure::none;
   /// With reason none.
   http::response answer;
   std::uint32_t attempts = 0;
@@ -110,7 +110,7 @@
     std::optional<milliseconds> next_try;
     /// It is sent once, to see whether it still does.
     bool is_trial = false;
-    give_up_reason reason = give_up_reason::none;
+    call_failure reason = call_failure::none;
   };
 
   journey begin(std::shared_ptr<route_table const> table, route const& by, http::request message,
--- a/src/calls/give_up.cc
+++ b/src/calls/give_up.cc
@@ -19,41 +19,41 @@
 
 }  // namespace
 
-std::string_view to_string(give_up_reason reason) {
+std::string_view to_string(call_failure reason) {
   switch (reason) {
-    case give_up_reason::none:
+    case call_failure::none:
       return "none";
-    case give_up_reason::no_configuration:
+    case call_failure::no_configuration:
       return "no_configuration";
-    case give_up_reason::no_route:
+    case call_failure::no_route:
       return "no_route";
-    case give_up_reason::no_server:
+    case call_failure::no_server:
       return "no_server";
-    case give_up_reason::servers_full:
+    case call_failure::servers_full:
       return "servers_full";
-    case give_up_reason::deadline_not_run:
+    case call_failure::deadline_not_run:
       return "deadline_not_run";
-    case give_up_reason::deadline_unknown:
+    case call_failure::deadline_unknown:
       return "deadline_unknown";
-    case give_up_reason::outcome_unknown:
+    case call_failure::outcome_unknown:
       return "outcome_unknown";
-    case give_up_reason::caller_left:
+    case call_failure::caller_left:
       return "caller_left";
-    case give_up_reason::quarantined:
+    case call_failure::quarantined:
       return "quarantined";
   }
   return "unknown";
 }
 
-http::response give_up_answer(give_up_reason reason, std::optional<milliseconds> next_try) {
+http::response give_up_answer(call_failure reason, std::optional<milliseconds> next_try) {
   http::status code = http::status::service_unavailable;
-  if (reason == give_up_reason::no_route) code = http::status::not_found;
-  if (reason == give_up_reason::outcome_unknown) code = http::status::bad_gateway;
-  if (reason == give_up_reason::deadline_unknown) code = http::status::gateway_timeout;
+  if (reason == call_failure::no_route) code = http::status::not_found;
+  if (reason == call_failure::outcome_unknown) code = http::status::bad_gateway;
+  if (reason == call_failure::deadline_unknown) code = http::status::gateway_timeout;
   std::string body = "{\"reason\":\"" + std::string(to_string(reason)) + "\"}";
   http::response answer = http::make_response(code, std::move(body), http::k_problem_json);
   if (code == http::status::service_unavailable) {
-    bool const held_back = reason == give_up_reason::quarantined;
+    bool const held_back = reason == call_failure::quarantined;
     answer.set(http::field::retry_after,
                held_back ? seconds_until(next_try) : std::string(k_retry_later));
   }
--- a/src/calls/give_up.h
+++ b/src/calls/give_up.h
@@ -10,7 +10,7 @@
 namespace frostline::calls {
 
 /// Why a request got no server's answer.
-enum class give_up_reason {
+enum class call_failure {
   none,
   no_configuration,
   no_route,
@@ -28,13 +28,13 @@
   quarantined,
 };
 
-std::string_view to_string(give_up_reason reason);
+std::string_view to_string(call_failure reason);
 
 /// The answer for a request that was given up, with when to come back if it has not run.
 /// @param next_try for one under quarantine: when it may be tried again. Until its first trial that
 /// is soon, and a request that only stood beside a crash is served then; after it the caller is
 /// told a minute, as it is where nothing is known.
-http::response give_up_answer(give_up_reason reason,
+http::response give_up_answer(call_failure reason,
                               std::optional<milliseconds> next_try = std::nullopt);
 
 }  // namespace frostline::calls
--- a/src/jobs/sample_scorer.cc
+++ b/src/jobs/sample_scorer.cc
@@ -97,7 +97,7 @@
   sample* const now = waiting_sample(job, index);
   if (now == nullptr) co_return scoring_step::over;
   auto* const owner = dependencies_.table.find(job);
-  bool const answered = outcome.reason == calls::give_up_reason::none;
+  bool const answered = outcome.reason == calls::call_failure::none;
   std::string const proof(http::header(outcome.answer, dependencies_.names.stamp));
   bool const good = answered && outcome.answer.result_int() / 100 == 2 && !proof.empty();
   log_line(log_level::info, k_part, good ? "Scored." : "Scoring failed.",
@@ -112,7 +112,7 @@
     dependencies_.table.score(*owner, index, proof, boot_clock::now());
     co_return scoring_step::over;
   }
-  if (outcome.reason == calls::give_up_reason::quarantined) co_return scoring_step::later;
+  if (outcome.reason == calls::call_failure::quarantined) co_return scoring_step::later;
   now->scoring_failures += outcome.failed_answers;
   if (now->scoring_failures < most_failures) co_return scoring_step::again;
   ++counters_.dead;
