--- a/src/calls/route_table.h
+++ b/src/calls/route_table.h
@@ -89,7 +89,7 @@
   std::size_t routes_left_out = 0;
   std::map<std::string, service> services;
   client_limits limits;
-  /// None: callers need no keys. Without fault, see find_fault.
+  /// None: callers need no keys. Without fault, see validate_tenants.
   std::vector<tenant> tenants;
 };
 
--- a/src/calls/tenants.cc
+++ b/src/calls/tenants.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-std::string find_fault(std::vector<tenant> const& tenants) {
+std::string validate_tenants(std::vector<tenant> const& tenants) {
   std::set<std::string_view> names;
   std::unordered_map<std::string_view, std::size_t> holders;
   for (std::size_t index = 0; index < tenants.size(); ++index) {
--- a/src/calls/tenants.h
+++ b/src/calls/tenants.h
@@ -21,7 +21,7 @@
 /// Why these tenants can't be told apart, by their places in the list and never by their keys:
 /// a tenant without a name, two of one name, an empty key, a key that stands twice.
 /// @return an empty text if nothing is wrong.
-std::string find_fault(std::vector<tenant> const& tenants);
+std::string validate_tenants(std::vector<tenant> const& tenants);
 
 /// What the credentials of a request are worth.
 enum class credentials {
@@ -44,7 +44,7 @@
 class tenant_index {
  public:
   tenant_index() = default;
-  /// @param tenants outlive the index; without fault, see find_fault.
+  /// @param tenants outlive the index; without fault, see validate_tenants.
   explicit tenant_index(std::vector<tenant> const& tenants);
 
   bool has_tenants() const { return !by_name_.empty(); }
--- a/tests/unit/calls/tenants_test.cc
+++ b/tests/unit/calls/tenants_test.cc
@@ -100,13 +100,13 @@
 }
 
 TEST(tenants_test, faults_name_places_and_never_keys) {
-  CHECK(find_fault(two_tenants()).empty());
+  CHECK(validate_tenants(two_tenants()).empty());
   std::vector<tenant> twice = two_tenants();
   twice[1].api_keys.push_back("key-a");
-  std::string const fault = find_fault(twice);
+  std::string const fault = validate_tenants(twice);
   STRCMP_EQUAL("tenants[1].api_keys[1] is also a key of tenants[0]", fault.c_str());
   std::vector<tenant> within = {{"first", 1, {"key-a", "key-a"}}};
-  CHECK_FALSE(find_fault(within).empty());
+  CHECK_FALSE(validate_tenants(within).empty());
 }
 
 TEST(tenants_test, no_random_header_proves_a_tenant) {
