--- a/src/calls/route_table.cc
+++ b/src/calls/route_table.cc
@@ -81,7 +81,7 @@
            {{"version", table_->all().version},
             {"before", before},
             {"routes", table_->all().routes.size()},
-            {"routes_left_out", table_->all().routes_left_out},
+            {"routes_left_out", table_->all().skipped_routes},
             {"tenants", table_->all().tenants.size()}});
   return true;
 }
--- a/src/calls/route_table.h
+++ b/src/calls/route_table.h
@@ -86,7 +86,7 @@
   std::uint64_t version = 0;
   std::vector<route> routes;
   /// Entries that no request can go by, since they name no service.
-  std::size_t routes_left_out = 0;
+  std::size_t skipped_routes = 0;
   std::map<std::string, service> services;
   client_limits limits;
   /// None: callers need no keys. Without fault, see validate_tenants.
