--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -17,7 +17,7 @@
 /// A server closes a connection only after it has rested for longer than this.
 constexpr milliseconds k_just_used{400};
 constexpr milliseconds k_keep_margin{400};
-/// A kept connection on which a request is not acknowledged for that long has gone silent: two
+/// A pooled connection on which a request is not acknowledged for that long has gone silent: two
 /// retransmissions on links of a few milliseconds. A call with a single attempt would wait for its
 /// whole deadline otherwise.
 constexpr milliseconds k_acknowledgement_patience{400};
@@ -62,13 +62,13 @@
 std::unique_ptr<connection_pool::connection> connection_pool::take(std::string const& server,
                                                                    connection_choice choice) {
   auto const found = kept_.find(server);
-  if (found == kept_.end() || choice == connection_choice::fresh) return nullptr;
+  if (found == kept_.end() || choice == connection_choice::new_connection) return nullptr;
   time_point const now = boot_clock::now();
   while (!found->second.empty()) {
     auto one = std::move(found->second.back());
     found->second.pop_back();
     milliseconds const limit =
-        choice == connection_choice::just_used ? std::min(k_just_used, one->keep) : one->keep;
+        choice == connection_choice::recently_used ? std::min(k_just_used, one->keep) : one->keep;
     if (now - one->idle_since > limit) continue;
     if (!http::is_quiet(one->stream.socket())) continue;
     one->reused = true;
@@ -78,11 +78,11 @@
 }
 
 void connection_pool::give_back(std::string const& server, std::unique_ptr<connection> one) {
-  auto& kept = kept_[server];
-  if (kept.size() >= k_kept_per_server) return;
+  auto& pooled = kept_[server];
+  if (pooled.size() >= k_kept_per_server) return;
   one->idle_since = boot_clock::now();
   one->stream.expires_never();
-  kept.push_back(std::move(one));
+  pooled.push_back(std::move(one));
 }
 
 void connection_pool::keep(std::string const& server, http::beast::tcp_stream stream) {
@@ -109,8 +109,8 @@
 
 void connection_pool::clean(directory::server_directory const& servers) {
   time_point const now = boot_clock::now();
-  for (auto& [server, kept] : kept_) {
-    std::erase_if(kept, [&](auto const& one) { return now - one->idle_since > one->keep; });
+  for (auto& [server, pooled] : kept_) {
+    std::erase_if(pooled, [&](auto const& one) { return now - one->idle_since > one->keep; });
   }
   std::erase_if(kept_, [&](auto const& entry) {
     return entry.second.empty() || servers.find(entry.first) == nullptr;
@@ -169,7 +169,7 @@
   rested_.reset();
   if (connection_) {
     rested_ = milliseconds(milliseconds_since(connection_->idle_since));
-    bound_acknowledgement(choice == connection_choice::kept);
+    bound_acknowledgement(choice == connection_choice::pooled);
     co_return exchange_failure::none;
   }
   connection_ = std::make_unique<connection_pool::connection>(pool_.context());
--- a/src/calls/exchange.h
+++ b/src/calls/exchange.h
@@ -1,4 +1,4 @@
-/// @file One request at one server, and the connections kept for it. The answer is read piece by
+/// @file One request at one server, and the connections pooled for it. The answer is read piece by
 /// piece; the exchange knows how far the request came, which decides whether it may be sent again.
 #pragma once
 
@@ -24,8 +24,8 @@
   not_connected,
   /// The connection ended after bytes were sent: it may have run.
   broken,
-  /// As broken, on a kept connection that gave no byte of an answer: the server may have closed it
-  /// before it read the request.
+  /// As broken, on a pooled connection that gave no byte of an answer: the server may have closed
+  /// it before it read the request.
   stale_connection,
   /// Nothing came in time; it may have run.
   timed_out,
@@ -41,12 +41,12 @@
 
 /// Which connections may carry a request.
 enum class connection_choice {
-  /// A kept one, else a new one.
-  kept,
-  /// A kept one only if it rested so briefly that the server can't have closed it.
-  just_used,
+  /// A pooled one, else a new one.
+  pooled,
+  /// A pooled one only if it rested so briefly that the server can't have closed it.
+  recently_used,
   /// A new one.
-  fresh,
+  new_connection,
 };
 
 class exchange;
@@ -70,15 +70,15 @@
     bool bounds_acknowledgement = false;
   };
 
-  /// @return null if no kept connection fits.
+  /// @return null if no pooled connection fits.
   std::unique_ptr<connection> take(std::string const& server, connection_choice choice);
   void give_back(std::string const& server, std::unique_ptr<connection> one);
   /// Keeps a connection that was opened for no request.
   void keep(std::string const& server, http::beast::tcp_stream stream);
-  /// Whether a kept connection is open that was made at `made_before` or earlier. It shows that the
-  /// server's process has not ended since.
+  /// Whether a pooled connection is open that was made at `made_before` or earlier. It shows that
+  /// the server's process has not ended since.
   bool has_open(std::string const& server, time_point made_before) const;
-  /// Closes the kept connections to a server that have not been used since: one of them gave no
+  /// Closes the pooled connections to a server that have not been used since: one of them gave no
   /// byte of an answer in time, and those that went silent with it would cost a timeout each.
   void forget(std::string const& server, time_point unused_since);
   void forget(std::string const& server) { kept_.erase(server); }
@@ -127,8 +127,8 @@
   /// Something that lasts as long as the exchange.
   void hold(std::shared_ptr<void> one) { held_ = std::move(one); }
   bool is_aborted() const { return aborted_; }
-  /// Whether a kept connection of this exchange gave no byte of an answer in time: others may have
-  /// gone silent with it.
+  /// Whether a pooled connection of this exchange gave no byte of an answer in time: others may
+  /// have gone silent with it.
   bool has_met_silence() const { return has_met_silence_; }
   /// Whether the server may have begun to read the request: there was a connection to send it on.
   bool may_have_reached_server() const { return may_have_reached_server_; }
@@ -137,7 +137,7 @@
   /// The request goes to the same server once more, on a new connection.
   void note_resent() { resent_ = true; }
   bool is_resent() const { return resent_; }
-  /// How long the kept connection that carried the request had rested; nothing for a new one.
+  /// How long the pooled connection that carried the request had rested; nothing for a new one.
   std::optional<milliseconds> rested() const { return rested_; }
   directory::server const& server() const { return server_; }
 
@@ -158,8 +158,8 @@
   awaitable<http::beast::error_code> write(http::request const& message);
   void close();
   exchange_failure classify(http::beast::error_code const& failure);
-  /// Ends a kept connection on which the server's machine acknowledges nothing, if the request may
-  /// be sent again.
+  /// Ends a pooled connection on which the server's machine acknowledges nothing, if the request
+  /// may be sent again.
   void bound_acknowledgement(bool bounded);
   void note_silence();
 
--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -93,14 +93,14 @@
   one.message.set(dependencies_.names.deadline, std::to_string(told.count()));
   one.message.set(dependencies_.names.expected_instance, with.server().id);
   bool const repeatable = one.by->is_repeatable();
-  auto choice = repeatable ? connection_choice::kept : connection_choice::just_used;
-  if (one.is_trial || one.has_met_silence) choice = connection_choice::fresh;
+  auto choice = repeatable ? connection_choice::pooled : connection_choice::recently_used;
+  if (one.is_trial || one.has_met_silence) choice = connection_choice::new_connection;
   time_point const deadline = attempt_deadline(one);
   exchange_failure failure = co_await with.send(one.message, choice, deadline);
   if (failure == exchange_failure::none) failure = co_await with.read_head(deadline);
   if (failure == exchange_failure::stale_connection && repeatable) {
     with.note_resent();
-    failure = co_await with.send(one.message, connection_choice::fresh, deadline);
+    failure = co_await with.send(one.message, connection_choice::new_connection, deadline);
     if (failure == exchange_failure::none) failure = co_await with.read_head(deadline);
     // A server that is gone now may have run what was sent before: it counts as an attempt, or one
     // request could end more servers than it has attempts and be answered as not run.
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -101,7 +101,7 @@
     std::optional<quarantine::fingerprint> identity;
     /// How often a server's connection broke under it.
     std::uint32_t broken_attempts = 0;
-    /// A kept connection gave no answer: further attempts use new ones, or each could meet a dead
+    /// A pooled connection gave no answer: further attempts use new ones, or each could meet a dead
     /// one and the last would wait for the whole deadline.
     bool has_met_silence = false;
     /// It ends servers, so no other one gets it.
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -284,13 +284,13 @@
   sample const* one = dependencies_.table.running(key);
   if (one == nullptr) co_return run_end::unwanted;
   http::request const message = make_request(*dependencies_.table.find(key.job), *one);
-  auto choice = calls::connection_choice::kept;
+  auto choice = calls::connection_choice::pooled;
   auto failure = co_await with.send(message, choice, boot_clock::now() + k_send_timeout);
   time_point const first = boot_clock::now() + k_first_event_timeout;
   if (failure == calls::exchange_failure::none) failure = co_await with.read_head(first);
   bool const is_stale = failure == calls::exchange_failure::stale_connection;
   if (is_stale && dependencies_.may_send_again()) {
-    choice = calls::connection_choice::fresh;
+    choice = calls::connection_choice::new_connection;
     failure = co_await with.send(message, choice, boot_clock::now() + k_send_timeout);
     if (failure == calls::exchange_failure::none) failure = co_await with.read_head(first);
   }
