--- a/src/calls/access.cc
+++ b/src/calls/access.cc
@@ -3,23 +3,24 @@
 namespace frostline::calls {
 
 access check_access(route_table const& table, http::request const& message, bool is_public) {
-  access found;
-  found.verdict =
-      table.tenants().check(http::as_view(message[http::field::authorization]), found.who);
-  // Which of several a server behind another proxy would have taken can't be told.
-  bool const ambiguous = message.count(http::field::authorization) > 1;
-  if (ambiguous && found.verdict == credentials::valid) {
-    found.verdict = credentials::unknown;
-    found.who = nullptr;
+  access result;
+  result.key_check = table.tenants().check(http::as_view(message[http::field::authorization]),
+                                           result.matched_tenant);
+  // With several headers it is undefined which one a downstream proxy or server reads, so none of
+  // them proves a tenant.
+  bool const has_several_headers = message.count(http::field::authorization) > 1;
+  if (has_several_headers && result.key_check == credential_status::valid) {
+    result.key_check = credential_status::unknown;
+    result.matched_tenant = nullptr;
   }
-  bool const proven =
-      found.verdict == credentials::valid || found.verdict == credentials::not_needed;
-  found.is_granted = proven || is_public;
-  return found;
+  bool const is_proven = result.key_check == credential_status::valid ||
+                         result.key_check == credential_status::not_needed;
+  result.is_granted = is_proven || is_public;
+  return result;
 }
 
-http::response access_denied_answer(credentials verdict) {
-  std::string const reason(to_string(verdict));
+http::response access_denied_answer(credential_status key_check) {
+  std::string const reason(to_string(key_check));
   http::response answer = http::make_response(
       http::status::unauthorized,
       R"({"title":"a valid key is needed","status":401,"reason":")" + reason + "\"}",
--- a/src/calls/access.h
+++ b/src/calls/access.h
@@ -1,4 +1,4 @@
-/// @file Who may make a request, and what of a caller's credentials a server gets to see.
+/// @file Checks a caller's credentials, and limits what a server sees of them.
 #pragma once
 
 #include "calls/header_names.h"
@@ -7,22 +7,22 @@
 
 namespace frostline::calls {
 
-/// What a request's credentials gave its caller.
+/// Result of the check of a request's credentials.
 struct access {
-  credentials verdict = credentials::not_needed;
-  /// Null if the caller is no known tenant's.
-  tenant const* who = nullptr;
+  credential_status key_check = credential_status::not_needed;
+  /// Null if the caller belongs to no known tenant.
+  tenant const* matched_tenant = nullptr;
   bool is_granted = true;
 };
 
-/// @param is_public callers of the request need no key. One that is valid still names its tenant.
+/// @param is_public the route needs no key. A valid key still identifies the caller's tenant.
 access check_access(route_table const& table, http::request const& message, bool is_public);
 
-/// The answer to a request without access: 401, with the scheme that is wanted (RFC 9110, 11.6.1).
-http::response access_denied_answer(credentials verdict);
+/// Returns the 401 response with its authentication scheme (RFC 9110, section 11.6.1).
+http::response access_denied_answer(credential_status key_check);
 
-/// Sets what a server learns of the caller: the tenant's name from here and from nowhere else, and
-/// no key where keys prove tenants.
+/// Replaces any tenant header of the caller by `tenant_name`, and removes the Authorization header
+/// if tenants are configured, so that servers can trust the tenant and never see a key.
 void set_tenant(http::request& message, header_names const& names, tenant_index const& tenants,
                 std::string_view tenant_name);
 
--- a/src/calls/caller.h
+++ b/src/calls/caller.h
@@ -1,4 +1,4 @@
-/// @file Whoever sent a request and waits for its answer, as the services that answer see it.
+/// @file Interface to the client that sent a request and waits for its answer.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
  public:
   virtual ~caller() = default;
 
-  /// Sends a whole answer.
+  /// Sends a complete answer.
   virtual awaitable<void> answer(http::response whole) = 0;
-  /// Sends the head of an answer that comes in pieces. @return false if the caller is gone.
+  /// Sends the head of a streamed answer. @return false if the client has disconnected.
   virtual awaitable<bool> begin(http::response head) = 0;
   virtual awaitable<bool> send(std::string piece) = 0;
-  /// Ends an answer in pieces as complete. One that is not ended shows the caller that it is cut.
+  /// Completes a streamed answer. Without it the client sees a truncated answer.
   virtual awaitable<void> end() = 0;
-  virtual bool is_gone() const = 0;
-  /// `listener` runs once when the caller leaves before its answer is whole; empty for none.
-  virtual void on_gone(std::function<void()> listener) = 0;
+  virtual bool is_disconnected() const = 0;
+  /// Sets a `listener` that runs once if the client disconnects before its answer is complete; an
+  /// empty one removes it.
+  virtual void on_disconnect(std::function<void()> listener) = 0;
 };
 
 }  // namespace frostline::calls
--- a/src/calls/event_stream.cc
+++ b/src/calls/event_stream.cc
@@ -14,17 +14,17 @@
   return number;
 }
 
-/// The field's value without the one blank that may follow the colon.
+/// Returns the field's value without the optional space after the colon.
 std::string_view field_value(std::string_view line, std::size_t colon) {
   std::string_view value = line.substr(colon + 1);
   if (value.starts_with(' ')) value.remove_prefix(1);
   return value;
 }
 
-/// Length of the blank line that ends an event at `place`, or 0.
-std::size_t blank_line_at(std::string_view text, std::size_t place) {
-  if (text.substr(place).starts_with("\n\n")) return 2;
-  if (text.substr(place).starts_with("\r\n\r\n")) return 4;
+/// Returns the length of the line ends that terminate an event at `position`, or 0.
+std::size_t blank_line_at(std::string_view text, std::size_t position) {
+  if (text.substr(position).starts_with("\n\n")) return 2;
+  if (text.substr(position).starts_with("\r\n\r\n")) return 4;
   return 0;
 }
 
@@ -32,8 +32,8 @@
 
 event_splitter::event_splitter(std::string version_field)
     : version_field_(std::move(version_field)) {
-  for (char& letter : version_field_) {
-    letter = static_cast<char>(std::tolower(static_cast<unsigned char>(letter)));
+  for (char& character : version_field_) {
+    character = static_cast<char>(std::tolower(static_cast<unsigned char>(character)));
   }
 }
 
@@ -64,22 +64,23 @@
 }
 
 std::vector<stream_event> event_splitter::feed(std::string_view piece) {
-  // A blank line may begin in what is pending already.
-  std::size_t from = pending_.size() < 4 ? 0 : pending_.size() - 4;
+  // The terminator may have begun in an earlier piece.
+  std::size_t search_from = pending_.size() < 4 ? 0 : pending_.size() - 4;
   pending_.append(piece);
   std::vector<stream_event> events;
-  std::size_t begin = 0;
-  while (from < pending_.size()) {
-    std::size_t const length = blank_line_at(pending_, from);
+  std::size_t event_begin = 0;
+  while (search_from < pending_.size()) {
+    std::size_t const length = blank_line_at(pending_, search_from);
     if (length == 0) {
-      ++from;
+      ++search_from;
       continue;
     }
-    from += length;
-    events.push_back(parse(std::string_view(pending_).substr(begin, from - begin)));
-    begin = from;
+    search_from += length;
+    events.push_back(
+        parse(std::string_view(pending_).substr(event_begin, search_from - event_begin)));
+    event_begin = search_from;
   }
-  pending_.erase(0, begin);
+  pending_.erase(0, event_begin);
   return events;
 }
 
--- a/src/calls/event_stream.h
+++ b/src/calls/event_stream.h
@@ -1,4 +1,4 @@
-/// @file Server-sent events as a byte stream brings them. Pure.
+/// @file Splits a byte stream into server-sent events. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 
 struct stream_event {
   std::optional<std::uint64_t> id;
-  /// Lines of data, joined by line feeds.
+  /// Data lines, joined by line feeds.
   std::string data;
-  /// Version of the weights from this event on, if the event names one.
+  /// Weight version from this event on, if the event names one.
   std::optional<std::uint64_t> version;
-  /// The event as it came, with the blank line that ends it.
+  /// Unmodified bytes of the event, including the blank line that ends it.
   std::string raw;
 };
 
 class event_splitter {
  public:
-  /// @param version_field name of the field that tells a new version; events carry it in lower
-  /// case.
+  /// @param version_field name of the field with the weight version, in any case; events carry it
+  /// in lower case.
   explicit event_splitter(std::string version_field);
 
-  /// Takes bytes in. @return the events that they complete.
+  /// Appends bytes. @return the events that they complete.
   std::vector<stream_event> feed(std::string_view piece);
-  /// Whether the stream stands between two events.
+  /// Returns true if no partial event is buffered.
   bool is_between_events() const { return pending_.empty(); }
   void reset() { pending_.clear(); }
 
--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -12,20 +12,20 @@
 namespace bhttp = http::bhttp;
 namespace beast = http::beast;
 
-constexpr std::size_t k_kept_per_server = 24;
+constexpr std::size_t k_max_pooled_per_server = 24;
 constexpr milliseconds k_connect_timeout{300};
-/// A server closes a connection only after it has rested for longer than this.
-constexpr milliseconds k_just_used{400};
+/// Servers keep an idle connection open for at least this long.
+constexpr milliseconds k_recent_use{400};
 constexpr milliseconds k_keep_margin{400};
-/// A pooled connection on which a request is not acknowledged for that long has gone silent: two
-/// retransmissions on links of a few milliseconds. A call with a single attempt would wait for its
-/// whole deadline otherwise.
-constexpr milliseconds k_acknowledgement_patience{400};
-/// Larger bodies are watched for an answer that comes before they are sent.
+/// Time for the acknowledgement of a request on a pooled connection, enough for two retransmissions
+/// on links of a few milliseconds. Without it, a call with a single attempt would wait for its
+/// whole deadline on a dead connection.
+constexpr milliseconds k_acknowledgement_timeout{400};
+/// While a body of at least this size is sent, an early answer is watched for.
 constexpr std::size_t k_large_body = 16 * 1024;
 
-/// The seconds of "timeout=N" in a Keep-Alive header.
-std::optional<milliseconds> keep_alive_time(http::response const& head) {
+/// Parses the seconds of "timeout=N" in a Keep-Alive header.
+std::optional<milliseconds> keep_alive_timeout(http::response const& head) {
   std::string_view const value = http::as_view(head[http::field::keep_alive]);
   constexpr std::string_view k_parameter = "timeout=";
   auto const place = value.find(k_parameter);
@@ -61,64 +61,66 @@
 
 std::unique_ptr<connection_pool::connection> connection_pool::take(std::string const& server,
                                                                    connection_choice choice) {
-  auto const found = kept_.find(server);
-  if (found == kept_.end() || choice == connection_choice::new_connection) return nullptr;
+  auto const entry = idle_.find(server);
+  if (entry == idle_.end() || choice == connection_choice::new_connection) return nullptr;
   time_point const now = boot_clock::now();
-  while (!found->second.empty()) {
-    auto one = std::move(found->second.back());
-    found->second.pop_back();
-    milliseconds const limit =
-        choice == connection_choice::recently_used ? std::min(k_just_used, one->keep) : one->keep;
-    if (now - one->idle_since > limit) continue;
-    if (!http::is_quiet(one->stream.socket())) continue;
-    one->reused = true;
-    return one;
+  while (!entry->second.empty()) {
+    auto idle = std::move(entry->second.back());
+    entry->second.pop_back();
+    milliseconds const limit = choice == connection_choice::recently_used
+                                   ? std::min(k_recent_use, idle->idle_timeout)
+                                   : idle->idle_timeout;
+    if (now - idle->idle_since > limit) continue;
+    if (!http::is_quiet(idle->stream.socket())) continue;
+    idle->reused = true;
+    return idle;
   }
   return nullptr;
 }
 
-void connection_pool::give_back(std::string const& server, std::unique_ptr<connection> one) {
-  auto& pooled = kept_[server];
-  if (pooled.size() >= k_kept_per_server) return;
-  one->idle_since = boot_clock::now();
-  one->stream.expires_never();
-  pooled.push_back(std::move(one));
+void connection_pool::give_back(std::string const& server, std::unique_ptr<connection> idle) {
+  auto& pooled = idle_[server];
+  if (pooled.size() >= k_max_pooled_per_server) return;
+  idle->idle_since = boot_clock::now();
+  idle->stream.expires_never();
+  pooled.push_back(std::move(idle));
 }
 
-void connection_pool::keep(std::string const& server, http::beast::tcp_stream stream) {
-  auto one = std::make_unique<connection>(std::move(stream));
-  one->opened_at = boot_clock::now();
+void connection_pool::add_idle(std::string const& server, http::beast::tcp_stream stream) {
+  auto idle = std::make_unique<connection>(std::move(stream));
+  idle->opened_at = boot_clock::now();
   note_opened();
-  http::probe_when_idle(one->stream.socket());
-  give_back(server, std::move(one));
+  http::probe_when_idle(idle->stream.socket());
+  give_back(server, std::move(idle));
 }
 
-bool connection_pool::has_open(std::string const& server, time_point made_before) const {
-  auto const found = kept_.find(server);
-  if (found == kept_.end()) return false;
-  return std::any_of(found->second.begin(), found->second.end(), [&](auto const& one) {
-    return one->opened_at <= made_before && http::is_quiet(one->stream.socket());
+bool connection_pool::has_open(std::string const& server, time_point opened_before) const {
+  auto const entry = idle_.find(server);
+  if (entry == idle_.end()) return false;
+  return std::any_of(entry->second.begin(), entry->second.end(), [&](auto const& idle) {
+    return idle->opened_at <= opened_before && http::is_quiet(idle->stream.socket());
   });
 }
 
 void connection_pool::forget(std::string const& server, time_point unused_since) {
-  auto const found = kept_.find(server);
-  if (found == kept_.end()) return;
-  std::erase_if(found->second, [&](auto const& one) { return one->idle_since < unused_since; });
+  auto const entry = idle_.find(server);
+  if (entry == idle_.end()) return;
+  std::erase_if(entry->second, [&](auto const& idle) { return idle->idle_since < unused_since; });
 }
 
 void connection_pool::clean(directory::server_directory const& servers) {
   time_point const now = boot_clock::now();
-  for (auto& [server, pooled] : kept_) {
-    std::erase_if(pooled, [&](auto const& one) { return now - one->idle_since > one->keep; });
+  for (auto& [server, pooled] : idle_) {
+    std::erase_if(pooled,
+                  [&](auto const& idle) { return now - idle->idle_since > idle->idle_timeout; });
   }
-  std::erase_if(kept_, [&](auto const& entry) {
+  std::erase_if(idle_, [&](auto const& entry) {
     return entry.second.empty() || servers.find(entry.first) == nullptr;
   });
 }
 
-void connection_pool::end_overdue(time_point now) {
-  for (exchange* const one : under_way_) one->end_if_overdue(now);
+void connection_pool::expire_overdue(time_point now) {
+  for (exchange* const active : in_flight_) active->expire_if_overdue(now);
 }
 
 exchange::exchange(connection_pool& pool, header_names const& names,
@@ -129,47 +131,47 @@
 
 exchange::~exchange() { pool_.remove(*this); }
 
-exchange::timed_wait::timed_wait(exchange& one, time_point deadline) : one_(one) {
-  one_.deadline_ = deadline;
-  one_.connection_->stream.expires_after(time_left(deadline));
+exchange::timed_wait::timed_wait(exchange& waiting, time_point deadline) : exchange_(waiting) {
+  exchange_.deadline_ = deadline;
+  exchange_.connection_->stream.expires_after(time_left(deadline));
 }
 
 exchange_failure exchange::classify(beast::error_code const& failure) {
   if (aborted_) return exchange_failure::aborted;
-  bool const unread = connection_ && connection_->reused && !answer_begun_;
-  bool const unacknowledged = failure == asio::error::timed_out;
-  bool const late = overdue_ || failure == beast::error::timeout;
-  if (unread && (late || unacknowledged)) note_silence();
-  if (late) return exchange_failure::timed_out;
-  // Nothing shows that the server has ended.
-  if (unacknowledged) {
-    return unread ? exchange_failure::stale_connection : exchange_failure::timed_out;
+  bool const unanswered_reuse = connection_ && connection_->reused && !answer_begun_;
+  bool const acknowledgement_timed_out = failure == asio::error::timed_out;
+  bool const deadline_passed = overdue_ || failure == beast::error::timeout;
+  if (unanswered_reuse && (deadline_passed || acknowledgement_timed_out)) note_silent_connection();
+  if (deadline_passed) return exchange_failure::timed_out;
+  // A missing acknowledgement does not show that the server process ended, so has_broken_ stays
+  // false.
+  if (acknowledgement_timed_out) {
+    return unanswered_reuse ? exchange_failure::stale_connection : exchange_failure::timed_out;
   }
   has_broken_ = true;
-  return unread ? exchange_failure::stale_connection : exchange_failure::broken;
+  return unanswered_reuse ? exchange_failure::stale_connection : exchange_failure::broken;
 }
 
-void exchange::note_silence() {
-  has_met_silence_ = true;
-  // Those that have answered since are sound. With them closed, too, a calm day of 250 nodes opened
-  // 2,678 connections, else 2,268: requests that outlast their routes end like this as well.
+void exchange::note_silent_connection() {
+  saw_silent_connection_ = true;
+  // Connections that were used since this exchange began have proven to be alive and stay pooled.
   pool_.forget(server_.id, opened_at_);
 }
 
-void exchange::bound_acknowledgement(bool bounded) {
-  if (connection_->bounds_acknowledgement == bounded) return;
-  connection_->bounds_acknowledgement = bounded;
-  milliseconds const patience = bounded ? k_acknowledgement_patience : milliseconds(0);
-  http::end_if_unacknowledged(connection_->stream.socket(), patience);
+void exchange::set_acknowledgement_timeout(bool bounded) {
+  if (connection_->has_acknowledgement_timeout == bounded) return;
+  connection_->has_acknowledgement_timeout = bounded;
+  milliseconds const timeout = bounded ? k_acknowledgement_timeout : milliseconds(0);
+  http::end_if_unacknowledged(connection_->stream.socket(), timeout);
 }
 
 awaitable<exchange_failure> exchange::open(connection_choice choice, time_point deadline) {
   opened_at_ = boot_clock::now();
   connection_ = pool_.take(server_.id, choice);
-  rested_.reset();
+  idle_time_.reset();
   if (connection_) {
-    rested_ = milliseconds(milliseconds_since(connection_->idle_since));
-    bound_acknowledgement(choice == connection_choice::pooled);
+    idle_time_ = milliseconds(milliseconds_since(connection_->idle_since));
+    set_acknowledgement_timeout(choice == connection_choice::pooled);
     co_return exchange_failure::none;
   }
   connection_ = std::make_unique<connection_pool::connection>(pool_.context());
@@ -177,8 +179,8 @@
   beast::error_code ignored;
   tcp::endpoint const remote(asio::ip::make_address(server_.address.address, ignored),
                              server_.address.port);
-  time_point const latest = std::min(deadline, boot_clock::now() + k_connect_timeout);
-  timed_wait const wait(*this, latest);
+  time_point const connect_deadline = std::min(deadline, boot_clock::now() + k_connect_timeout);
+  timed_wait const wait(*this, connect_deadline);
   auto [failure] = co_await connection_->stream.async_connect(remote, k_as_tuple);
   if (failure) {
     co_return aborted_ ? exchange_failure::aborted : exchange_failure::not_connected;
@@ -192,7 +194,7 @@
 awaitable<beast::error_code> exchange::write(http::request const& message) {
   if (message.body().size() < k_large_body) {
     auto [failure, count] = co_await bhttp::async_write(connection_->stream, message, k_as_tuple);
-    request_whole_ = !failure;
+    request_sent_ = !failure;
     co_return failure;
   }
   // The server may answer before it has read all of a large body.
@@ -202,7 +204,7 @@
                 connection_->stream.socket().async_wait(tcp::socket::wait_read, k_as_tuple));
   if (first.index() == 1) co_return beast::error_code();
   beast::error_code const failure = std::get<0>(std::get<0>(first));
-  request_whole_ = !failure;
+  request_sent_ = !failure;
   co_return failure;
 }
 
@@ -251,14 +253,14 @@
 
 void exchange::finish() {
   if (!connection_ || !is_whole() || aborted_ || overdue_) return;
-  bool const clean = parser_->get().keep_alive() && !parser_->get().need_eof() && request_whole_ &&
+  bool const clean = parser_->get().keep_alive() && !parser_->get().need_eof() && request_sent_ &&
                      connection_->buffer.size() == 0;
   if (!clean) {
     connection_.reset();
     return;
   }
-  if (auto const told = keep_alive_time(parser_->get())) {
-    connection_->keep = std::max(*told - k_keep_margin, milliseconds(0));
+  if (auto const timeout = keep_alive_timeout(parser_->get())) {
+    connection_->idle_timeout = std::max(*timeout - k_keep_margin, milliseconds(0));
   }
   pool_.give_back(server_.id, std::move(connection_));
 }
@@ -274,7 +276,7 @@
   close();
 }
 
-void exchange::end_if_overdue(time_point now) {
+void exchange::expire_if_overdue(time_point now) {
   if (!deadline_ || now < *deadline_) return;
   overdue_ = true;
   close();
--- a/src/calls/exchange.h
+++ b/src/calls/exchange.h
@@ -1,5 +1,7 @@
-/// @file One request at one server, and the connections pooled for it. The answer is read piece by
-/// piece; the exchange knows how far the request came, which decides whether it may be sent again.
+/// @file One HTTP request to one server, and the pool of connections to servers.
+///
+/// The answer is read piece by piece. An exchange tracks how far its request got, which decides
+/// whether it may be sent again.
 #pragma once
 
 #include <cstddef>
@@ -17,21 +19,21 @@
 
 namespace frostline::calls {
 
-/// Why an exchange gave no whole answer.
+/// Why an exchange gave no complete answer.
 enum class exchange_failure {
   none,
   /// No connection: no byte was sent, the request has not run.
   not_connected,
-  /// The connection ended after bytes were sent: it may have run.
+  /// The connection ended after bytes were sent: the request may have run.
   broken,
-  /// As broken, on a pooled connection that gave no byte of an answer: the server may have closed
-  /// it before it read the request.
+  /// Like `broken`, but on a pooled connection and before any byte of an answer: the server may
+  /// have closed the connection before it read the request.
   stale_connection,
-  /// Nothing came in time; it may have run.
+  /// The deadline passed; the request may have run.
   timed_out,
-  /// The bytes are no answer to this request.
+  /// The answer's request id is not that of the request.
   foreign_answer,
-  /// Given up by this side.
+  /// `exchange::abort` was called.
   aborted,
 };
 
@@ -41,17 +43,17 @@
 
 /// Which connections may carry a request.
 enum class connection_choice {
-  /// A pooled one, else a new one.
+  /// A pooled connection if there is one, else a new one.
   pooled,
-  /// A pooled one only if it rested so briefly that the server can't have closed it.
+  /// Like `pooled`, but only a connection that was idle too briefly for the server to have closed
+  /// it.
   recently_used,
-  /// A new one.
   new_connection,
 };
 
 class exchange;
 
-/// Kept connections by server life. A connection of a life that has ended is never used again.
+/// Idle connections by server incarnation. A connection is never used for a later incarnation.
 class connection_pool {
  public:
   explicit connection_pool(asio::io_context& context) : context_(context) {}
@@ -63,42 +65,43 @@
     http::beast::flat_buffer buffer;
     time_point opened_at{};
     time_point idle_since{};
-    /// How long it may rest: the server tells, or closes it, which is seen before it is used.
-    milliseconds keep{20'000};
+    /// How long it may be idle. Servers may announce this; if they close it earlier, `take`
+    /// notices.
+    milliseconds idle_timeout{20'000};
     bool reused = false;
-    /// What is sent has to be acknowledged soon, see `exchange::open`.
-    bool bounds_acknowledgement = false;
+    /// Set while the peer must acknowledge sent data in time, see `exchange::open`.
+    bool has_acknowledgement_timeout = false;
   };
 
   /// @return null if no pooled connection fits.
   std::unique_ptr<connection> take(std::string const& server, connection_choice choice);
-  void give_back(std::string const& server, std::unique_ptr<connection> one);
-  /// Keeps a connection that was opened for no request.
-  void keep(std::string const& server, http::beast::tcp_stream stream);
-  /// Whether a pooled connection is open that was made at `made_before` or earlier. It shows that
-  /// the server's process has not ended since.
-  bool has_open(std::string const& server, time_point made_before) const;
-  /// Closes the pooled connections to a server that have not been used since: one of them gave no
-  /// byte of an answer in time, and those that went silent with it would cost a timeout each.
+  void give_back(std::string const& server, std::unique_ptr<connection> idle);
+  /// Adds a connection that was opened without a request.
+  void add_idle(std::string const& server, http::beast::tcp_stream stream);
+  /// Returns true if a pooled connection that was opened at `opened_before` or earlier is still
+  /// open, which shows that the server process has run without interruption since then.
+  bool has_open(std::string const& server, time_point opened_before) const;
+  /// Closes the pooled connections to a server that were last used before `unused_since`. Called
+  /// after one of them was silent: others have probably failed with it, and each would cost a
+  /// timeout.
   void forget(std::string const& server, time_point unused_since);
-  void forget(std::string const& server) { kept_.erase(server); }
-  /// Closes connections of servers that are gone, and those that rested for long.
+  void forget(std::string const& server) { idle_.erase(server); }
+  /// Closes expired connections, and those of servers that have left the directory.
   void clean(directory::server_directory const& servers);
-  /// Exchanges under way, for `end_overdue`.
-  void add(exchange& one) { under_way_.insert(&one); }
-  void remove(exchange& one) { under_way_.erase(&one); }
-  /// Times out exchanges that wait beyond their deadlines; to be called a few times a second. Their
-  /// own timers count no suspension of the machine: without this callers hear of their deadline
-  /// later by as long as the machine slept.
-  void end_overdue(time_point now);
+  /// Registers an exchange in flight for `expire_overdue`.
+  void add(exchange& active) { in_flight_.insert(&active); }
+  void remove(exchange& active) { in_flight_.erase(&active); }
+  /// Fails exchanges whose deadlines have passed; to be called a few times a second. Their own
+  /// timers don't advance while the machine is suspended.
+  void expire_overdue(time_point now);
   asio::io_context& context() { return context_; }
   std::uint64_t opened() const { return opened_; }
   void note_opened() { ++opened_; }
 
  private:
   asio::io_context& context_;
-  std::map<std::string, std::deque<std::unique_ptr<connection>>> kept_;
-  std::set<exchange*> under_way_;
+  std::map<std::string, std::deque<std::unique_ptr<connection>>> idle_;
+  std::set<exchange*> in_flight_;
   std::uint64_t opened_ = 0;
 };
 
@@ -109,59 +112,61 @@
   exchange(exchange const&) = delete;
   exchange& operator=(exchange const&) = delete;
 
-  /// Connects if need be and sends. @param message complete with all headers but the instance's.
+  /// Connects if necessary and sends the request. @param message complete with all headers.
   awaitable<exchange_failure> send(http::request const& message, connection_choice choice,
                                    time_point deadline);
-  /// Reads the answer's status and headers, and checks that they answer this request.
+  /// Reads the status and headers of the answer, and checks that its request id matches.
   awaitable<exchange_failure> read_head(time_point deadline);
   http::response const& head() const { return parser_->get(); }
-  /// Reads more of the body into `piece`, which stays empty at the end of the whole body.
+  /// Reads more of the body into `piece`, which is empty at the end of the body.
   awaitable<exchange_failure> read_piece(std::string& piece, time_point deadline);
   bool is_whole() const { return parser_ && parser_->is_done(); }
-  /// Keeps the connection if the answer is whole and the server allows it.
+  /// Returns the connection to the pool if the answer is complete and the server keeps it open.
   void finish();
-  /// Closes the connection at once; what waits on it fails with `aborted`.
+  /// Closes the connection at once; pending operations fail with `aborted`.
   void abort();
-  /// Fails with `timed_out` if it waits beyond its deadline.
-  void end_if_overdue(time_point now);
-  /// Something that lasts as long as the exchange.
-  void hold(std::shared_ptr<void> one) { held_ = std::move(one); }
+  /// Fails with `timed_out` if the current deadline has passed.
+  void expire_if_overdue(time_point now);
+  /// Keeps `resource` alive until the exchange is destroyed.
+  void hold(std::shared_ptr<void> resource) { held_resource_ = std::move(resource); }
   bool is_aborted() const { return aborted_; }
-  /// Whether a pooled connection of this exchange gave no byte of an answer in time: others may
-  /// have gone silent with it.
-  bool has_met_silence() const { return has_met_silence_; }
-  /// Whether the server may have begun to read the request: there was a connection to send it on.
+  /// Returns true if a pooled connection of this exchange gave no byte of an answer in time. Other
+  /// pooled connections may have failed with it.
+  bool saw_silent_connection() const { return saw_silent_connection_; }
+  /// Returns true if the server may have begun to read the request.
   bool may_have_reached_server() const { return may_have_reached_server_; }
-  /// Whether a connection of this exchange ended after bytes were sent, without a whole answer.
+  /// Returns true if a connection of this exchange ended after bytes were sent, without a complete
+  /// answer.
   bool has_broken() const { return has_broken_; }
-  /// The request goes to the same server once more, on a new connection.
+  /// Notes that the request is sent to the same server again, on a new connection.
   void note_resent() { resent_ = true; }
   bool is_resent() const { return resent_; }
-  /// How long the pooled connection that carried the request had rested; nothing for a new one.
-  std::optional<milliseconds> rested() const { return rested_; }
+  /// How long the connection was idle in the pool before this request; nullopt for a new
+  /// connection.
+  std::optional<milliseconds> idle_time() const { return idle_time_; }
   directory::server const& server() const { return server_; }
 
  private:
-  /// A wait for the server, which has to end by `deadline`.
+  /// Sets the deadline of the exchange and its connection for the operations in its scope.
   class timed_wait {
    public:
-    timed_wait(exchange& one, time_point deadline);
-    ~timed_wait() { one_.deadline_.reset(); }
+    timed_wait(exchange& waiting, time_point deadline);
+    ~timed_wait() { exchange_.deadline_.reset(); }
     timed_wait(timed_wait const&) = delete;
     timed_wait& operator=(timed_wait const&) = delete;
 
    private:
-    exchange& one_;
+    exchange& exchange_;
   };
 
   awaitable<exchange_failure> open(connection_choice choice, time_point deadline);
   awaitable<http::beast::error_code> write(http::request const& message);
   void close();
   exchange_failure classify(http::beast::error_code const& failure);
-  /// Ends a pooled connection on which the server's machine acknowledges nothing, if the request
-  /// may be sent again.
-  void bound_acknowledgement(bool bounded);
-  void note_silence();
+  /// Enables or disables a timeout for the acknowledgement of sent data. It is enabled only if the
+  /// request may be sent again.
+  void set_acknowledgement_timeout(bool bounded);
+  void note_silent_connection();
 
   connection_pool& pool_;
   header_names const& names_;
@@ -169,20 +174,20 @@
   std::string request_id_;
   std::unique_ptr<connection_pool::connection> connection_;
   std::optional<http::bhttp::response_parser<http::bhttp::string_body>> parser_;
-  /// Of what it waits for now; none between two waits.
+  /// Deadline of the operation in progress, if any.
   std::optional<time_point> deadline_;
   bool overdue_ = false;
   bool head_only_ = false;
-  bool request_whole_ = false;
+  bool request_sent_ = false;
   bool answer_begun_ = false;
   bool aborted_ = false;
   bool resent_ = false;
   bool may_have_reached_server_ = false;
   bool has_broken_ = false;
-  bool has_met_silence_ = false;
-  std::optional<milliseconds> rested_;
+  bool saw_silent_connection_ = false;
+  std::optional<milliseconds> idle_time_;
   time_point opened_at_{};
-  std::shared_ptr<void> held_;
+  std::shared_ptr<void> held_resource_;
 };
 
 }  // namespace frostline::calls
--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -9,179 +9,188 @@
 namespace frostline::calls {
 namespace {
 
-/// A server that answers within this part of the route's objective is asked again before others;
-/// above it there would be no room for a second attempt.
-constexpr int k_swift_part = 2;
+/// An answer within target_latency divided by this is fast, and its server is preferred. A slower
+/// one leaves no time for a second attempt.
+constexpr int k_fast_answer_divisor = 2;
 constexpr std::string_view k_part = "calls";
-/// Time in which an answer must still reach the client before its deadline.
+/// Time reserved to deliver the answer before the client's deadline.
 constexpr milliseconds k_answer_margin{15};
-/// Shortest time that an attempt gets before another server is asked.
-constexpr milliseconds k_shortest_attempt{250};
-constexpr std::size_t k_longest_answer = 64 * 1024 * 1024;
+/// Shortest time for an attempt that is not the last one.
+constexpr milliseconds k_min_attempt_timeout{250};
+constexpr std::size_t k_max_answer_bytes = 64 * 1024 * 1024;
 
 }  // namespace
 
-forwarder::journey forwarder::begin(std::shared_ptr<route_table const> table, route const& by,
-                                    http::request message, time_point deadline, caller* from) {
-  journey one;
-  one.table = std::move(table);
-  one.by = &by;
-  one.message = std::move(message);
-  one.deadline = deadline;
-  one.from = from;
-  one.service = shares_.pick(by);
-  strip_hop_by_hop(one.message);
-  one.message.version(11);
-  one.message.keep_alive(true);
-  bool const has_body = !one.message.body().empty() ||
-                        one.message.count(http::field::content_length) > 0 ||
-                        one.message.method() == http::verb::post;
-  one.message.erase(http::field::content_length);
-  if (has_body) one.message.content_length(one.message.body().size());
-  return one;
+forwarder::request_state forwarder::begin(std::shared_ptr<route_table const> table,
+                                          route const& matched_route, http::request message,
+                                          time_point deadline, caller* client) {
+  request_state state;
+  state.table = std::move(table);
+  state.matched_route = &matched_route;
+  state.message = std::move(message);
+  state.deadline = deadline;
+  state.client = client;
+  state.service = shares_.pick(matched_route);
+  strip_hop_by_hop(state.message);
+  state.message.version(11);
+  state.message.keep_alive(true);
+  bool const has_body = !state.message.body().empty() ||
+                        state.message.count(http::field::content_length) > 0 ||
+                        state.message.method() == http::verb::post;
+  state.message.erase(http::field::content_length);
+  if (has_body) state.message.content_length(state.message.body().size());
+  return state;
 }
 
-bool forwarder::may_try_again(journey const& one) const {
-  if (one.is_trial && one.attempts > 0) return false;
-  return one.by->is_repeatable() || !one.may_have_run;
+bool forwarder::may_try_again(request_state const& state) const {
+  if (state.is_trial && state.attempts > 0) return false;
+  return state.matched_route->is_repeatable() || !state.may_have_run;
 }
 
-bool forwarder::is_suspect(journey& one) const {
-  if (one.broken_attempts > 0 || one.is_trial) return true;
+bool forwarder::is_suspect(request_state& state) const {
+  if (state.broken_attempts > 0 || state.is_trial) return true;
   return dependencies_.quarantine.is_watching() &&
-         dependencies_.quarantine.crashes_seen(identify(one)) > 0;
+         dependencies_.quarantine.crashes_seen(fingerprint_of(state)) > 0;
 }
 
-awaitable<void> forwarder::record_suspicion(journey& one) {
-  bool const watching = dependencies_.quarantine.is_watching() || one.broken_attempts > 1;
-  if (!watching || one.is_trial) co_return;
-  // What this try has just met is perhaps still looked at.
-  bool const met_two = one.broken_attempts > 1;
-  if (!met_two && !dependencies_.quarantine.must_be_recorded(identify(one))) co_return;
-  co_await dependencies_.quarantine.record_before_next_run(identify(one));
+awaitable<void> forwarder::record_suspicion(request_state& state) {
+  bool const watching = dependencies_.quarantine.is_watching() || state.broken_attempts > 1;
+  if (!watching || state.is_trial) co_return;
+  // The evidence of this attempt's crash may still be under examination, so the second broken
+  // attempt is recorded without a check.
+  bool const broke_twice = state.broken_attempts > 1;
+  if (!broke_twice && !dependencies_.quarantine.must_be_recorded(fingerprint_of(state))) co_return;
+  co_await dependencies_.quarantine.record_before_next_run(fingerprint_of(state));
 }
 
-awaitable<bool> forwarder::is_held_back(journey& one) {
-  if (one.is_trial || !dependencies_.quarantine.is_watching()) co_return false;
-  quarantine::fingerprint const& request = identify(one);
+awaitable<bool> forwarder::is_blocked_by_quarantine(request_state& state) {
+  if (state.is_trial || !dependencies_.quarantine.is_watching()) co_return false;
+  quarantine::fingerprint const& request = fingerprint_of(state);
   time_point const now = boot_clock::now();
   quarantine::verdict const verdict = dependencies_.quarantine.check(request, now);
-  bool const waits = one.from == nullptr && dependencies_.quarantine.should_wait(request, now);
-  if (waits) one.is_quarantined = true;
-  if (waits) co_return true;
+  bool const must_wait =
+      state.client == nullptr && dependencies_.quarantine.should_wait(request, now);
+  if (must_wait) state.is_quarantined = true;
+  if (must_wait) co_return true;
   if (verdict == quarantine::verdict::allowed) co_return false;
-  // Only a request that has not run yet is fit for a trial: its answer tells what came of it.
-  bool const fit = verdict == quarantine::verdict::trial && one.attempts == 0;
-  if (fit) one.is_trial = co_await dependencies_.quarantine.claim_trial(request);
-  if (one.is_trial) co_return false;
-  one.is_quarantined = true;
-  one.next_try = dependencies_.quarantine.time_to_next_try(request, boot_clock::now());
+  // A trial needs a request that has not run yet, since its outcome decides the quarantine.
+  bool const can_be_trial = verdict == quarantine::verdict::trial && state.attempts == 0;
+  if (can_be_trial) state.is_trial = co_await dependencies_.quarantine.claim_trial(request);
+  if (state.is_trial) co_return false;
+  state.is_quarantined = true;
+  state.retry_delay = dependencies_.quarantine.time_to_next_try(request, boot_clock::now());
   dependencies_.quarantine.note_refused(request);
   co_return true;
 }
 
-time_point forwarder::attempt_deadline(journey const& one) const {
-  bool const last = one.attempts >= one.by->max_attempts || !one.by->is_repeatable();
-  if (last) return one.deadline;
-  milliseconds const share = std::max(one.by->target_latency * 2, k_shortest_attempt);
-  return std::min(one.deadline, boot_clock::now() + share);
+time_point forwarder::attempt_deadline(request_state const& state) const {
+  bool const last =
+      state.attempts >= state.matched_route->max_attempts || !state.matched_route->is_repeatable();
+  if (last) return state.deadline;
+  milliseconds const attempt_share =
+      std::max(state.matched_route->target_latency * 2, k_min_attempt_timeout);
+  return std::min(state.deadline, boot_clock::now() + attempt_share);
 }
 
-awaitable<exchange_failure> forwarder::attempt(journey& one, exchange& with) {
-  // Without time left a server would not be asked; 0 might be read as "no deadline".
-  milliseconds const told = std::max(time_left(one.deadline), milliseconds(1));
-  one.message.set(dependencies_.names.deadline, std::to_string(told.count()));
-  one.message.set(dependencies_.names.expected_instance, with.server().id);
-  bool const repeatable = one.by->is_repeatable();
+awaitable<exchange_failure> forwarder::attempt(request_state& state, exchange& upstream) {
+  // At least 1 ms: a server may read 0 as "no deadline".
+  milliseconds const remaining = std::max(time_left(state.deadline), milliseconds(1));
+  state.message.set(dependencies_.names.deadline, std::to_string(remaining.count()));
+  state.message.set(dependencies_.names.expected_instance, upstream.server().id);
+  bool const repeatable = state.matched_route->is_repeatable();
   auto choice = repeatable ? connection_choice::pooled : connection_choice::recently_used;
-  if (one.is_trial || one.has_met_silence) choice = connection_choice::new_connection;
-  time_point const deadline = attempt_deadline(one);
-  exchange_failure failure = co_await with.send(one.message, choice, deadline);
-  if (failure == exchange_failure::none) failure = co_await with.read_head(deadline);
+  if (state.is_trial || state.saw_silent_connection) choice = connection_choice::new_connection;
+  time_point const deadline = attempt_deadline(state);
+  exchange_failure failure = co_await upstream.send(state.message, choice, deadline);
+  if (failure == exchange_failure::none) failure = co_await upstream.read_head(deadline);
   if (failure == exchange_failure::stale_connection && repeatable) {
-    with.note_resent();
-    failure = co_await with.send(one.message, connection_choice::new_connection, deadline);
-    if (failure == exchange_failure::none) failure = co_await with.read_head(deadline);
-    // A server that is gone now may have run what was sent before: it counts as an attempt, or one
-    // request could end more servers than it has attempts and be answered as not run.
+    upstream.note_resent();
+    failure = co_await upstream.send(state.message, connection_choice::new_connection, deadline);
+    if (failure == exchange_failure::none) failure = co_await upstream.read_head(deadline);
+    // The first send may have crashed the server, so the attempt counts. Otherwise one request
+    // could crash more servers than it has attempts, and be reported as not run.
     if (failure == exchange_failure::not_connected) failure = exchange_failure::broken;
   }
   co_return failure;
 }
 
-quarantine::fingerprint const& forwarder::identify(journey& one) const {
-  if (one.identity) return *one.identity;
+quarantine::fingerprint const& forwarder::fingerprint_of(request_state& state) const {
+  if (state.request_fingerprint) return *state.request_fingerprint;
   quarantine::request_parts parts;
-  parts.caller = one.tenant;
-  if (one.tenant.empty()) parts.caller = http::as_view(one.message[http::field::authorization]);
-  parts.host = http::as_view(one.message[http::field::host]);
-  parts.method = http::as_view(one.message.method_string());
-  parts.target = http::as_view(one.message.target());
-  parts.body = one.message.body();
-  one.identity = quarantine::fingerprint::of(parts);
-  return *one.identity;
+  parts.caller = state.tenant;
+  if (state.tenant.empty()) parts.caller = http::as_view(state.message[http::field::authorization]);
+  parts.host = http::as_view(state.message[http::field::host]);
+  parts.method = http::as_view(state.message.method_string());
+  parts.target = http::as_view(state.message.target());
+  parts.body = state.message.body();
+  state.request_fingerprint = quarantine::fingerprint::of(parts);
+  return *state.request_fingerprint;
 }
 
-void forwarder::note_failure(journey& one, exchange const& with, exchange_failure failure) {
+void forwarder::note_failure(request_state& state, exchange const& upstream,
+                             exchange_failure failure) {
   ++counters_.failed_attempts[static_cast<std::size_t>(failure)];
-  bool const unsent = failure == exchange_failure::not_connected;
-  if (unsent) {
-    --one.attempts;
+  bool const not_connected = failure == exchange_failure::not_connected;
+  if (not_connected) {
+    --state.attempts;
   } else {
-    one.may_have_run = true;
+    state.may_have_run = true;
   }
   if (failure == exchange_failure::aborted) {
-    note_abandoned(one, with);
+    note_caller_left(state, upstream);
   } else {
-    dependencies_.selector.note_failure(with.server().id, boot_clock::now());
+    dependencies_.selector.note_failure(upstream.server().id, boot_clock::now());
   }
-  if (failure == exchange_failure::timed_out) note_given_up(one, with);
-  one.has_met_silence = one.has_met_silence || with.has_met_silence();
+  if (failure == exchange_failure::timed_out) note_abandoned_run(state, upstream);
+  state.saw_silent_connection = state.saw_silent_connection || upstream.saw_silent_connection();
   bool const ended =
       failure == exchange_failure::broken || failure == exchange_failure::stale_connection;
   if (ended) {
-    ++one.broken_attempts;
-    dependencies_.quarantine.note_broken(with.server(), identify(one), one.attempt_begun);
+    ++state.broken_attempts;
+    dependencies_.quarantine.note_broken(upstream.server(), fingerprint_of(state),
+                                         state.attempt_started_at);
   }
   log_line(log_level::info, k_part, "Attempt failed.",
-           {{"request", http::header(one.message, dependencies_.names.request_id)},
-            {"server", with.server().id},
+           {{"request", http::header(state.message, dependencies_.names.request_id)},
+            {"server", upstream.server().id},
             {"failure", to_string(failure)},
-            {"attempt", one.attempts},
-            {"sent_ms_ago", milliseconds_since(one.attempt_begun)},
-            {"resent", with.is_resent() ? "yes" : "no"},
-            {"connection", with.rested() ? "kept" : "new"},
-            {"rested_ms", with.rested().value_or(milliseconds(0)).count()},
-            {"others_under_way", dependencies_.selector.outstanding(with.server().id)},
-            {"fingerprint", identify(one).to_string()},
-            {"config", one.table->all().version}});
+            {"attempt", state.attempts},
+            {"sent_ms_ago", milliseconds_since(state.attempt_started_at)},
+            {"resent", upstream.is_resent() ? "yes" : "no"},
+            {"connection", upstream.idle_time() ? "kept" : "new"},
+            {"rested_ms", upstream.idle_time().value_or(milliseconds(0)).count()},
+            {"others_under_way", dependencies_.selector.outstanding(upstream.server().id)},
+            {"fingerprint", fingerprint_of(state).to_string()},
+            {"config", state.table->all().version}});
 }
 
-void forwarder::note_abandoned(journey& one, exchange const& with) {
-  dependencies_.selector.note_abandoned(with.server().id);
-  note_given_up(one, with);
+void forwarder::note_caller_left(request_state& state, exchange const& upstream) {
+  dependencies_.selector.note_abandoned(upstream.server().id);
+  note_abandoned_run(state, upstream);
 }
 
-void forwarder::note_given_up(journey& one, exchange const& with) {
-  if (!with.may_have_reached_server()) return;
-  dependencies_.quarantine.note_given_up(with.server(), identify(one), one.attempt_begun);
+void forwarder::note_abandoned_run(request_state& state, exchange const& upstream) {
+  if (!upstream.may_have_reached_server()) return;
+  dependencies_.quarantine.note_given_up(upstream.server(), fingerprint_of(state),
+                                         state.attempt_started_at);
 }
 
-void forwarder::clear_suspicion(journey& one, exchange const& with) {
-  // A server's own 5xx may come without a run, as at the end of its deadline in a queue.
-  bool const ran = with.head().result_int() < 500;
+void forwarder::clear_suspicion(request_state& state, exchange const& upstream) {
+  // A 5xx may be sent without a run, for example when a queued request reaches its deadline.
+  bool const ran = upstream.head().result_int() < 500;
   if (ran && dependencies_.quarantine.is_watching())
-    dependencies_.quarantine.note_answer(identify(one));
+    dependencies_.quarantine.note_answer(fingerprint_of(state));
 }
 
-void forwarder::note_whole_answer(journey& one, exchange const& with) {
-  clear_suspicion(one, with);
+void forwarder::note_whole_answer(request_state& state, exchange const& upstream) {
+  clear_suspicion(state, upstream);
   time_point const now = boot_clock::now();
-  bool const in_time = now - one.attempt_begun <= one.by->target_latency / k_swift_part;
-  if (in_time && with.head().result_int() < 500) {
-    dependencies_.selector.note_swift_answer(with.server().id, now);
+  bool const in_time =
+      now - state.attempt_started_at <= state.matched_route->target_latency / k_fast_answer_divisor;
+  if (in_time && upstream.head().result_int() < 500) {
+    dependencies_.selector.note_fast_answer(upstream.server().id, now);
   } else {
-    dependencies_.selector.note_answer(with.server().id);
+    dependencies_.selector.note_answer(upstream.server().id);
   }
 }
 
@@ -190,191 +199,202 @@
          head.result() == http::status::misdirected_request;
 }
 
-void forwarder::count_run(journey& one, usage::run_counter::attempt_id attempt, bool may_have_begun,
-                          bool is_event_stream) {
-  bool const counts = may_have_begun && !one.counted;
-  one.counted = one.counted || may_have_begun;
-  // A request for events begins to run with the first of them, any other when it arrives.
-  time_point const begun = is_event_stream ? boot_clock::now() : one.attempt_begun;
-  dependencies_.runs.end_attempt(attempt, one.tenant, counts, begun);
+void forwarder::count_run(request_state& state, usage::run_counter::attempt_id attempt,
+                          bool may_have_begun, bool is_event_stream) {
+  bool const counts = may_have_begun && !state.usage_counted;
+  state.usage_counted = state.usage_counted || may_have_begun;
+  // A streaming request starts with its first event, any other one when it is sent.
+  time_point const begun = is_event_stream ? boot_clock::now() : state.attempt_started_at;
+  dependencies_.runs.end_attempt(attempt, state.tenant, counts, begun);
 }
 
-bool forwarder::accepts(journey& one, exchange& with) {
-  http::response const& head = with.head();
+bool forwarder::accepts(request_state& state, exchange& upstream) {
+  http::response const& head = upstream.head();
   if (is_refusal(head)) {
-    one.was_refused = true;
-    dependencies_.selector.note_full(with.server().id, boot_clock::now());
+    state.was_refused = true;
+    dependencies_.selector.note_full(upstream.server().id, boot_clock::now());
     return false;
   }
   bool const failed = head.result_int() >= 500;
-  if (failed) ++one.failed_answers;
-  bool const again = failed && one.by->is_repeatable() && one.attempts < one.by->max_attempts;
-  if (!again) return true;
-  one.may_have_run = true;
-  dependencies_.selector.note_answer(with.server().id);
+  if (failed) ++state.failed_answers;
+  bool const should_retry = failed && state.matched_route->is_repeatable() &&
+                            state.attempts < state.matched_route->max_attempts;
+  if (!should_retry) return true;
+  state.may_have_run = true;
+  dependencies_.selector.note_answer(upstream.server().id);
   return false;
 }
 
-awaitable<std::unique_ptr<exchange>> forwarder::next_exchange(journey& one) {
-  while (one.attempts < one.by->max_attempts && may_try_again(one)) {
-    if (one.from != nullptr && one.from->is_gone()) break;
-    if (boot_clock::now() >= one.deadline) break;
-    co_await record_suspicion(one);
-    if (co_await is_held_back(one)) break;
-    auto const& ready = dependencies_.servers.ready_servers(one.service);
-    directory::server const* chosen =
-        dependencies_.selector.pick(ready, one.tried, boot_clock::now());
-    bool const all_failed = chosen == nullptr && one.may_have_run && one.by->is_repeatable();
-    // Once more each: a server that takes no connection then is not waited for, its caller knows
-    // better what to do with the time that is left.
-    if (all_failed) chosen = dependencies_.selector.pick(ready, one.unreachable, boot_clock::now());
-    if (chosen == nullptr) break;
-    std::string const chosen_id = chosen->id;
-    one.tried.insert(chosen_id);
-    one.server = chosen_id;
-    if (++one.attempts > 1) ++counters_.retries;
-    dependencies_.selector.note_sent(chosen->id);
-    one.attempt_begun = boot_clock::now();
-    auto with = std::make_unique<exchange>(dependencies_.connections, dependencies_.names, *chosen);
-    if (one.from != nullptr) one.from->on_gone([open = with.get()] { open->abort(); });
-    if (is_suspect(one)) with->hold(dependencies_.selector.isolate(chosen->id));
-    auto const counting = dependencies_.runs.begin_attempt(one.attempt_begun);
-    exchange_failure const failure = co_await attempt(one, *with);
+awaitable<std::unique_ptr<exchange>> forwarder::next_exchange(request_state& state) {
+  while (state.attempts < state.matched_route->max_attempts && may_try_again(state)) {
+    if (state.client != nullptr && state.client->is_disconnected()) break;
+    if (boot_clock::now() >= state.deadline) break;
+    co_await record_suspicion(state);
+    if (co_await is_blocked_by_quarantine(state)) break;
+    auto const& ready = dependencies_.servers.ready_servers(state.service);
+    directory::server const* selected =
+        dependencies_.selector.pick(ready, state.tried, boot_clock::now());
+    bool const all_failed =
+        selected == nullptr && state.may_have_run && state.matched_route->is_repeatable();
+    // Every server has failed: try each of them again, but not those that refuse connections. The
+    // caller can use the remaining time better than a wait for those.
+    if (all_failed)
+      selected = dependencies_.selector.pick(ready, state.unreachable, boot_clock::now());
+    if (selected == nullptr) break;
+    std::string const server_id = selected->id;
+    state.tried.insert(server_id);
+    state.server = server_id;
+    if (++state.attempts > 1) ++counters_.retries;
+    dependencies_.selector.note_sent(selected->id);
+    state.attempt_started_at = boot_clock::now();
+    auto upstream =
+        std::make_unique<exchange>(dependencies_.connections, dependencies_.names, *selected);
+    if (state.client != nullptr)
+      state.client->on_disconnect([active_exchange = upstream.get()] { active_exchange->abort(); });
+    if (is_suspect(state)) upstream->hold(dependencies_.selector.isolate(selected->id));
+    auto const usage_attempt = dependencies_.runs.begin_attempt(state.attempt_started_at);
+    exchange_failure const failure = co_await attempt(state, *upstream);
     bool const answered = failure == exchange_failure::none;
-    bool const taken = answered && accepts(one, *with);
-    bool const refused = answered && !taken && is_refusal(with->head());
-    bool const unsent = failure == exchange_failure::not_connected;
-    if (unsent && all_failed) one.unreachable.insert(chosen_id);
-    count_run(one, counting, !refused && !unsent, answered && has_events(with->head()));
-    if (taken) co_return with;
-    if (one.from != nullptr) one.from->on_gone(nullptr);
-    if (failure != exchange_failure::none) note_failure(one, *with, failure);
+    bool const accepted = answered && accepts(state, *upstream);
+    bool const refused = answered && !accepted && is_refusal(upstream->head());
+    bool const not_connected = failure == exchange_failure::not_connected;
+    if (not_connected && all_failed) state.unreachable.insert(server_id);
+    count_run(state, usage_attempt, !refused && !not_connected,
+              answered && has_events(upstream->head()));
+    if (accepted) co_return upstream;
+    if (state.client != nullptr) state.client->on_disconnect(nullptr);
+    if (failure != exchange_failure::none) note_failure(state, *upstream, failure);
   }
-  conclude_without_answer(one);
+  set_call_failure(state);
   co_return nullptr;
 }
 
-void forwarder::conclude_without_answer(journey& one) {
-  if (one.from != nullptr && one.from->is_gone()) {
-    one.reason = call_failure::caller_left;
-  } else if (boot_clock::now() >= one.deadline) {
-    one.reason = one.may_have_run ? call_failure::deadline_unknown : call_failure::deadline_not_run;
-  } else if (one.may_have_run) {
-    one.reason = call_failure::outcome_unknown;
-  } else if (one.is_quarantined) {
-    one.reason = call_failure::quarantined;
+void forwarder::set_call_failure(request_state& state) {
+  if (state.client != nullptr && state.client->is_disconnected()) {
+    state.reason = call_failure::caller_left;
+  } else if (boot_clock::now() >= state.deadline) {
+    state.reason =
+        state.may_have_run ? call_failure::deadline_unknown : call_failure::deadline_not_run;
+  } else if (state.may_have_run) {
+    state.reason = call_failure::outcome_unknown;
+  } else if (state.is_quarantined) {
+    state.reason = call_failure::quarantined;
   } else {
-    one.reason = one.was_refused ? call_failure::servers_full : call_failure::no_server;
+    state.reason = state.was_refused ? call_failure::servers_full : call_failure::no_server;
   }
 }
 
-awaitable<bool> forwarder::read_whole(journey& one, exchange& with, http::response& into) {
-  into.base() = with.head().base();
+awaitable<bool> forwarder::read_whole(request_state& state, exchange& upstream,
+                                      http::response& whole_answer) {
+  whole_answer.base() = upstream.head().base();
   std::string piece;
-  while (!with.is_whole() || !with.head().body().empty()) {
-    exchange_failure const failure = co_await with.read_piece(piece, one.deadline);
+  while (!upstream.is_whole() || !upstream.head().body().empty()) {
+    exchange_failure const failure = co_await upstream.read_piece(piece, state.deadline);
     if (failure != exchange_failure::none) {
-      note_failure(one, with, failure);
+      note_failure(state, upstream, failure);
       co_return false;
     }
-    into.body() += piece;
-    if (into.body().size() > k_longest_answer) co_return false;
+    whole_answer.body() += piece;
+    if (whole_answer.body().size() > k_max_answer_bytes) co_return false;
   }
-  note_whole_answer(one, with);
-  with.finish();
+  note_whole_answer(state, upstream);
+  upstream.finish();
   co_return true;
 }
 
-awaitable<call_outcome> forwarder::run_whole(journey& one) {
+awaitable<call_outcome> forwarder::run_whole(request_state& state) {
   call_outcome outcome;
-  while (auto with = co_await next_exchange(one)) {
-    bool const whole = co_await read_whole(one, *with, outcome.answer);
-    if (one.from != nullptr) one.from->on_gone(nullptr);
+  while (auto upstream = co_await next_exchange(state)) {
+    bool const whole = co_await read_whole(state, *upstream, outcome.answer);
+    if (state.client != nullptr) state.client->on_disconnect(nullptr);
     if (whole) {
       strip_hop_by_hop(outcome.answer);
       outcome.answer.erase(http::field::content_length);
-      outcome.attempts = one.attempts;
-      outcome.failed_answers = one.failed_answers;
-      outcome.server = one.server;
+      outcome.attempts = state.attempts;
+      outcome.failed_answers = state.failed_answers;
+      outcome.server = state.server;
       co_return outcome;
     }
     outcome.answer = http::response();
   }
-  outcome.reason = one.reason;
-  outcome.failed_answers = one.failed_answers;
-  outcome.attempts = one.attempts;
-  outcome.server = one.server;
+  outcome.reason = state.reason;
+  outcome.failed_answers = state.failed_answers;
+  outcome.attempts = state.attempts;
+  outcome.server = state.server;
   co_return outcome;
 }
 
-awaitable<call_outcome> forwarder::call(std::shared_ptr<route_table const> table, route const& by,
-                                        http::request message, time_point deadline, caller* from) {
-  journey one = begin(std::move(table), by, std::move(message), deadline, from);
-  co_return co_await run_whole(one);
+awaitable<call_outcome> forwarder::call(std::shared_ptr<route_table const> table,
+                                        route const& matched_route, http::request message,
+                                        time_point deadline, caller* client) {
+  request_state state =
+      begin(std::move(table), matched_route, std::move(message), deadline, client);
+  co_return co_await run_whole(state);
 }
 
-awaitable<void> forwarder::handle(std::shared_ptr<route_table const> table, route const* by,
-                                  http::request message, std::string tenant, time_point deadline,
-                                  caller& from) {
+awaitable<void> forwarder::handle(std::shared_ptr<route_table const> table,
+                                  route const* matched_route, http::request message,
+                                  std::string tenant, time_point deadline, caller& client) {
   ++counters_.requests;
   if (!table || !dependencies_.servers.is_loaded()) {
-    ++counters_.given_up;
-    co_await from.answer(give_up_answer(call_failure::no_configuration));
+    ++counters_.unanswered;
+    co_await client.answer(failure_response(call_failure::no_configuration));
     co_return;
   }
-  if (by == nullptr) {
+  if (matched_route == nullptr) {
     std::string const path(message.target());
-    ++counters_.given_up;
+    ++counters_.unanswered;
     log_line(log_level::info, k_part, "No route.",
              {{"request", http::header(message, dependencies_.names.request_id)},
               {"path", path},
               {"config", table->all().version},
               {"in_force_ms", milliseconds_since(table->in_force_since())},
               {"records_age_ms", dependencies_.records_age().count()}});
-    co_await from.answer(give_up_answer(call_failure::no_route));
+    co_await client.answer(failure_response(call_failure::no_route));
     co_return;
   }
-  time_point const latest = std::min(deadline, boot_clock::now() + by->timeout);
-  journey one = begin(table, *by, std::move(message), latest - k_answer_margin, &from);
-  set_tenant(one.message, dependencies_.names, table->tenants(), tenant);
-  one.tenant = std::move(tenant);
-  if (by->kind == route_kind::streaming) {
-    co_await run_stream(one);
+  time_point const latest_deadline = std::min(deadline, boot_clock::now() + matched_route->timeout);
+  request_state state =
+      begin(table, *matched_route, std::move(message), latest_deadline - k_answer_margin, &client);
+  set_tenant(state.message, dependencies_.names, table->tenants(), tenant);
+  state.tenant = std::move(tenant);
+  if (matched_route->kind == route_kind::streaming) {
+    co_await run_stream(state);
     co_return;
   }
-  call_outcome outcome = co_await run_whole(one);
+  call_outcome outcome = co_await run_whole(state);
   if (outcome.reason != call_failure::none) {
-    co_await answer_give_up(one);
+    co_await answer_failure(state);
     co_return;
   }
   ++counters_.answered;
-  log_outcome(one, outcome.answer.result_int(), "Answered.");
-  co_await from.answer(std::move(outcome.answer));
+  log_outcome(state, outcome.answer.result_int(), "Answered.");
+  co_await client.answer(std::move(outcome.answer));
 }
 
-awaitable<void> forwarder::answer_give_up(journey& one) {
-  if (one.reason == call_failure::caller_left) {
+awaitable<void> forwarder::answer_failure(request_state& state) {
+  if (state.reason == call_failure::caller_left) {
     ++counters_.callers_left;
   } else {
-    ++counters_.given_up;
+    ++counters_.unanswered;
   }
-  http::response refusal = give_up_answer(one.reason, one.next_try);
-  log_outcome(one, refusal.result_int(), "Given up.");
-  co_await one.from->answer(std::move(refusal));
+  http::response failure_answer = failure_response(state.reason, state.retry_delay);
+  log_outcome(state, failure_answer.result_int(), "Request failed.");
+  co_await state.client->answer(std::move(failure_answer));
 }
 
-void forwarder::log_outcome(journey& one, unsigned status, std::string_view sentence) {
-  bool const given_up = one.reason != call_failure::none;
-  log_line(log_level::info, k_part, sentence,
-           {{"request", http::header(one.message, dependencies_.names.request_id)},
-            {"route", one.by->name},
-            {"tenant", one.tenant},
+void forwarder::log_outcome(request_state& state, unsigned status, std::string_view log_message) {
+  bool const unanswered = state.reason != call_failure::none;
+  log_line(log_level::info, k_part, log_message,
+           {{"request", http::header(state.message, dependencies_.names.request_id)},
+            {"route", state.matched_route->name},
+            {"tenant", state.tenant},
             {"status", status},
-            {"reason", to_string(one.reason)},
-            {"server", one.server},
-            {"attempts", one.attempts},
-            {"fingerprint", given_up ? identify(one).to_string() : std::string()},
-            {"config", one.table->all().version}});
+            {"reason", to_string(state.reason)},
+            {"server", state.server},
+            {"attempts", state.attempts},
+            {"fingerprint", unanswered ? fingerprint_of(state).to_string() : std::string()},
+            {"config", state.table->all().version}});
 }
 
 }  // namespace frostline::calls
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -1,4 +1,5 @@
-/// @file Ordinary calls: from a caller's request to the answer of one server, whole or in events.
+/// @file Forwards ordinary calls from clients to servers, with retries; answers are complete or
+/// streamed as events.
 #pragma once
 
 #include <array>
@@ -20,13 +21,12 @@
 
 namespace frostline::calls {
 
-/// What came of a call.
 struct call_outcome {
   call_failure reason = call_failure::none;
-  /// With reason none.
+  /// Set if `reason` is none.
   http::response answer;
   std::uint32_t attempts = 0;
-  /// Answers of 5xx among the attempts, the last one included.
+  /// Answers with a 5xx status over all attempts, including the last one.
   std::uint32_t failed_answers = 0;
   std::string server;
 };
@@ -34,14 +34,14 @@
 struct call_counters {
   std::uint64_t requests = 0;
   std::uint64_t answered = 0;
-  std::uint64_t given_up = 0;
+  std::uint64_t unanswered = 0;
   std::uint64_t retries = 0;
   std::uint64_t callers_left = 0;
-  /// Attempts that failed, by exchange_failure.
+  /// Failed attempts, indexed by exchange_failure.
   std::array<std::uint64_t, k_exchange_failures> failed_attempts{};
 };
 
-/// References outlive the forwarder.
+/// References must outlive the forwarder.
 struct forwarder_dependencies {
   asio::io_context& context;
   directory::server_directory const& servers;
@@ -51,7 +51,7 @@
   /// Counts the requests of tenants.
   usage::run_counter& runs;
   quarantine::service& quarantine;
-  /// How old this node's records are, for the log.
+  /// Age of this node's records, for log lines.
   std::function<milliseconds()> records_age;
 };
 
@@ -60,97 +60,102 @@
   explicit forwarder(forwarder_dependencies dependencies)
       : dependencies_(std::move(dependencies)) {}
 
-  /// Answers a client's request whose access was granted.
-  /// @param table in force; null if there is none yet.
-  /// @param by the request's route; null if there is none.
-  /// @param tenant whose caller it is; may be empty.
-  /// @param deadline of the client; the route may shorten it.
-  awaitable<void> handle(std::shared_ptr<route_table const> table, route const* by,
+  /// Answers a client's request that has passed the access check.
+  /// @param table the configuration in force; null if there is none yet.
+  /// @param matched_route null if no route matches.
+  /// @param tenant name of the client's tenant; may be empty.
+  /// @param deadline of the client; the route's timeout may shorten it.
+  awaitable<void> handle(std::shared_ptr<route_table const> table, route const* matched_route,
                          http::request message, std::string tenant, time_point deadline,
-                         caller& from);
+                         caller& client);
 
-  /// Sends a request of this system itself by a route; the answer is read whole.
-  awaitable<call_outcome> call(std::shared_ptr<route_table const> table, route const& by,
-                               http::request message, time_point deadline, caller* from);
+  /// Sends a request and reads the complete answer.
+  /// @param client null for requests that the gateway itself makes.
+  awaitable<call_outcome> call(std::shared_ptr<route_table const> table, route const& matched_route,
+                               http::request message, time_point deadline, caller* client);
 
   call_counters const& counters() const { return counters_; }
 
  private:
-  /// One request on its way through its attempts.
-  struct journey {
+  /// State of one request across its attempts.
+  struct request_state {
     std::shared_ptr<route_table const> table;
-    route const* by = nullptr;
+    route const* matched_route = nullptr;
     http::request message;
     time_point deadline;
-    caller* from = nullptr;
+    caller* client = nullptr;
     std::string service;
     std::set<std::string> tried;
-    /// Servers that took no connection after all had been tried.
+    /// Servers that refused a connection after all servers had been tried.
     std::set<std::string> unreachable;
     std::uint32_t attempts = 0;
-    time_point attempt_begun{};
+    time_point attempt_started_at{};
     std::uint32_t failed_answers = 0;
     bool may_have_run = false;
     bool was_refused = false;
     std::string server;
-    /// Empty: no tenant's request.
+    /// Empty if the request belongs to no tenant.
     std::string tenant;
-    /// A server has begun to run it, as far as is known; it is counted once.
-    bool counted = false;
-    /// Set when it is first needed.
-    std::optional<quarantine::fingerprint> identity;
-    /// How often a server's connection broke under it.
+    /// Set once a server may have begun to run the request, so that its usage is counted only once.
+    bool usage_counted = false;
+    /// Computed on first use by `fingerprint_of`.
+    std::optional<quarantine::fingerprint> request_fingerprint;
+    /// Attempts that ended with a broken connection.
     std::uint32_t broken_attempts = 0;
-    /// A pooled connection gave no answer: further attempts use new ones, or each could meet a dead
-    /// one and the last would wait for the whole deadline.
-    bool has_met_silence = false;
-    /// It ends servers, so no other one gets it.
+    /// A pooled connection was silent. Further attempts use new connections, since each pooled one
+    /// may be dead and the last attempt would wait for the whole deadline.
+    bool saw_silent_connection = false;
+    /// No server may get the request, since it probably crashes its servers.
     bool is_quarantined = false;
-    /// When it may be tried again, as far as is known.
-    std::optional<milliseconds> next_try;
-    /// It is sent once, to see whether it still does.
+    /// Time until the next trial of a quarantined request, if known.
+    std::optional<milliseconds> retry_delay;
+    /// The request is sent once, to find out whether it still crashes its server.
     bool is_trial = false;
     call_failure reason = call_failure::none;
   };
 
-  journey begin(std::shared_ptr<route_table const> table, route const& by, http::request message,
-                time_point deadline, caller* from);
-  /// Makes attempts until a server's answer has begun. @return null if the request is given up.
-  awaitable<std::unique_ptr<exchange>> next_exchange(journey& one);
-  awaitable<exchange_failure> attempt(journey& one, exchange& with);
-  /// Whether a server says that it has not run the request.
+  request_state begin(std::shared_ptr<route_table const> table, route const& matched_route,
+                      http::request message, time_point deadline, caller* client);
+  /// Makes attempts until a server's answer begins. @return null if the request failed;
+  /// `state.reason` tells why.
+  awaitable<std::unique_ptr<exchange>> next_exchange(request_state& state);
+  awaitable<exchange_failure> attempt(request_state& state, exchange& upstream);
+  /// Returns true if the server states that it has not run the request.
   bool is_refusal(http::response const& head) const;
-  /// Whether the server's answer may be taken; else the next attempt follows.
-  bool accepts(journey& one, exchange& with);
-  void note_failure(journey& one, exchange const& with, exchange_failure failure);
-  /// The caller has left.
-  void note_abandoned(journey& one, exchange const& with);
-  /// The server may still be at work on what was given up, and end.
-  void note_given_up(journey& one, exchange const& with);
-  quarantine::fingerprint const& identify(journey& one) const;
-  /// What the tenant's usage owes to an attempt.
-  void count_run(journey& one, usage::run_counter::attempt_id attempt, bool may_have_begun,
+  /// Returns true if the answer is to be passed on, false if another attempt should follow.
+  bool accepts(request_state& state, exchange& upstream);
+  void note_failure(request_state& state, exchange const& upstream, exchange_failure failure);
+  /// Updates the selector and the quarantine after the client has disconnected.
+  void note_caller_left(request_state& state, exchange const& upstream);
+  /// Reports a request that may still run at the server after this side stopped waiting, since it
+  /// may yet crash the server.
+  void note_abandoned_run(request_state& state, exchange const& upstream);
+  quarantine::fingerprint const& fingerprint_of(request_state& state) const;
+  /// Ends an attempt in the tenant's usage count.
+  void count_run(request_state& state, usage::run_counter::attempt_id attempt, bool may_have_begun,
                  bool is_event_stream);
-  void note_whole_answer(journey& one, exchange const& with);
-  /// A server has answered: the request is none that ends its servers.
-  void clear_suspicion(journey& one, exchange const& with);
-  void conclude_without_answer(journey& one);
-  bool may_try_again(journey const& one) const;
-  /// Whether a request should run apart from others: servers may end under it.
-  bool is_suspect(journey& one) const;
-  /// Has it recorded, before its next run, that servers have ended under a request.
-  awaitable<void> record_suspicion(journey& one);
-  /// Whether a request must not go to a server now, since servers have ended under it.
-  awaitable<bool> is_held_back(journey& one);
-  time_point attempt_deadline(journey const& one) const;
-  awaitable<call_outcome> run_whole(journey& one);
-  /// Reads the rest of an answer. @return false if it broke.
-  awaitable<bool> read_whole(journey& one, exchange& with, http::response& into);
-  awaitable<void> run_stream(journey& one);
-  /// Passes events on. @return true if the stream has ended or can't go on.
-  awaitable<bool> pump(journey& one, exchange& with, event_splitter& splitter, bool& begun);
-  awaitable<void> answer_give_up(journey& one);
-  void log_outcome(journey& one, unsigned status, std::string_view sentence);
+  void note_whole_answer(request_state& state, exchange const& upstream);
+  /// Reports that a server survived the request.
+  void clear_suspicion(request_state& state, exchange const& upstream);
+  void set_call_failure(request_state& state);
+  bool may_try_again(request_state const& state) const;
+  /// Returns true if the request should be isolated from others, since it may crash its server.
+  bool is_suspect(request_state& state) const;
+  /// Stores the evidence against a suspect request before its next run.
+  awaitable<void> record_suspicion(request_state& state);
+  /// Returns true if the quarantine forbids sending the request now. May claim the request's trial.
+  awaitable<bool> is_blocked_by_quarantine(request_state& state);
+  time_point attempt_deadline(request_state const& state) const;
+  awaitable<call_outcome> run_whole(request_state& state);
+  /// Reads the rest of an answer. @return false if it failed or is too large.
+  awaitable<bool> read_whole(request_state& state, exchange& upstream,
+                             http::response& whole_answer);
+  awaitable<void> run_stream(request_state& state);
+  /// Forwards complete events. @return false if another server may resume the stream.
+  awaitable<bool> forward_events(request_state& state, exchange& upstream, event_splitter& splitter,
+                                 bool& begun);
+  awaitable<void> answer_failure(request_state& state);
+  void log_outcome(request_state& state, unsigned status, std::string_view log_message);
 
   forwarder_dependencies dependencies_;
   share_picker shares_;
--- a/src/calls/give_up.cc
+++ b/src/calls/give_up.cc
@@ -6,15 +6,15 @@
 namespace frostline::calls {
 namespace {
 
-/// Seconds after which a server that was full has mostly room again.
-constexpr std::string_view k_retry_later = "0.3";
-/// For a request under quarantine: its later trials lie further apart, so a caller that comes
-/// sooner is refused again.
-constexpr seconds k_longest_pause{60};
-
-std::string seconds_until(std::optional<milliseconds> next_try) {
-  seconds const pause = std::chrono::ceil<seconds>(next_try.value_or(k_longest_pause));
-  return std::to_string(std::clamp(pause, seconds(1), k_longest_pause).count());
+/// Seconds; full servers usually have a free slot by then.
+constexpr std::string_view k_full_server_retry_after = "0.3";
+/// Upper bound for quarantined requests: their later trials are further apart, and an earlier retry
+/// is refused again.
+constexpr seconds k_max_retry_after{60};
+
+std::string seconds_until(std::optional<milliseconds> retry_delay) {
+  seconds const delay = std::chrono::ceil<seconds>(retry_delay.value_or(k_max_retry_after));
+  return std::to_string(std::clamp(delay, seconds(1), k_max_retry_after).count());
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
   return "unknown";
 }
 
-http::response give_up_answer(call_failure reason, std::optional<milliseconds> next_try) {
+http::response failure_response(call_failure reason, std::optional<milliseconds> retry_delay) {
   http::status code = http::status::service_unavailable;
   if (reason == call_failure::no_route) code = http::status::not_found;
   if (reason == call_failure::outcome_unknown) code = http::status::bad_gateway;
@@ -53,9 +53,9 @@
   std::string body = "{\"reason\":\"" + std::string(to_string(reason)) + "\"}";
   http::response answer = http::make_response(code, std::move(body), http::k_problem_json);
   if (code == http::status::service_unavailable) {
-    bool const held_back = reason == call_failure::quarantined;
-    answer.set(http::field::retry_after,
-               held_back ? seconds_until(next_try) : std::string(k_retry_later));
+    bool const is_quarantined = reason == call_failure::quarantined;
+    answer.set(http::field::retry_after, is_quarantined ? seconds_until(retry_delay)
+                                                        : std::string(k_full_server_retry_after));
   }
   return answer;
 }
--- a/src/calls/give_up.h
+++ b/src/calls/give_up.h
@@ -1,4 +1,4 @@
-/// @file Requests that got no server's answer: why, and what their callers are told.
+/// @file Reasons why a request got no answer from a server, and the response for each.
 #pragma once
 
 #include <optional>
@@ -9,32 +9,33 @@
 
 namespace frostline::calls {
 
-/// Why a request got no server's answer.
+/// Why a request got no answer from a server.
 enum class call_failure {
   none,
   no_configuration,
   no_route,
   no_server,
-  /// Every server that was asked refused; it has not run.
+  /// Every server that was asked refused the request, so it has not run.
   servers_full,
-  /// Out of time before any server may have run it.
+  /// The deadline passed before any server could have run the request.
   deadline_not_run,
-  /// Out of time while a server may run it.
+  /// The deadline passed while a server may have been running the request.
   deadline_unknown,
-  /// A server failed and may have run it.
+  /// A server failed and may have run the request.
   outcome_unknown,
   caller_left,
-  /// It ends the servers that run it, so no server gets it; it has not run this time.
+  /// Quarantined as a poison request and sent to no server; this call has not run it.
   quarantined,
 };
 
 std::string_view to_string(call_failure reason);
 
-/// The answer for a request that was given up, with when to come back if it has not run.
-/// @param next_try for one under quarantine: when it may be tried again. Until its first trial that
-/// is soon, and a request that only stood beside a crash is served then; after it the caller is
-/// told a minute, as it is where nothing is known.
-http::response give_up_answer(call_failure reason,
-                              std::optional<milliseconds> next_try = std::nullopt);
+/// Makes the response for a request without a server's answer. It has a Retry-After header if the
+/// request has not run.
+/// @param retry_delay for a quarantined request: time until its next trial; without it the longest
+/// delay is sent. The first trial comes soon, so that a request that merely ran during a crash is
+/// served again early.
+http::response failure_response(call_failure reason,
+                                std::optional<milliseconds> retry_delay = std::nullopt);
 
 }  // namespace frostline::calls
--- a/src/calls/ingress.cc
+++ b/src/calls/ingress.cc
@@ -12,9 +12,9 @@
 namespace bhttp = http::bhttp;
 
 constexpr std::string_view k_part = "ingress";
-constexpr milliseconds k_accept_pause{10};
+constexpr milliseconds k_accept_retry_delay{10};
 constexpr milliseconds k_body_timeout{10'000};
-/// A client that does not read its answer for that long is taken for gone.
+/// A client that does not read its answer for this long is disconnected.
 constexpr milliseconds k_write_timeout{10'000};
 
 http::status status_for(beast::error_code const& failure) {
@@ -26,7 +26,7 @@
   return http::status::bad_request;
 }
 
-bool has_left(beast::error_code const& failure) {
+bool is_disconnect(beast::error_code const& failure) {
   return failure == bhttp::error::end_of_stream || failure == asio::error::eof ||
          failure == asio::error::connection_reset || failure == asio::error::operation_aborted ||
          failure == bhttp::error::partial_message;
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-/// One client connection; the caller of the request that it carries.
+/// One client connection; acts as the caller of the request in progress.
 class ingress::connection final : public caller {
  public:
   connection(tcp::socket socket, bool const& draining)
@@ -50,10 +50,10 @@
     begun_ = false;
     ended_ = false;
   }
-  bool may_go_on() const { return keep_alive_ && ended_ && !gone_; }
+  bool can_continue() const { return keep_alive_ && ended_ && !disconnected_; }
 
   awaitable<void> answer(http::response whole) override {
-    if (gone_) co_return;
+    if (disconnected_) co_return;
     whole.version(version_);
     keep_alive_ = keep_alive_ && !draining_;
     whole.keep_alive(keep_alive_);
@@ -65,7 +65,7 @@
   }
 
   awaitable<bool> begin(http::response head) override {
-    if (gone_) co_return false;
+    if (disconnected_) co_return false;
     begun_ = true;
     bhttp::response<bhttp::empty_body> chunked;
     chunked.base() = std::move(head.base());
@@ -75,30 +75,32 @@
     bhttp::response_serializer<bhttp::empty_body> serializer(chunked);
     stream_.expires_after(k_write_timeout);
     auto [failure, count] = co_await bhttp::async_write_header(stream_, serializer, k_as_tuple);
-    co_return !failure && !gone_;
+    co_return !failure && !disconnected_;
   }
 
   awaitable<bool> send(std::string piece) override {
-    if (gone_) co_return false;
+    if (disconnected_) co_return false;
     stream_.expires_after(k_write_timeout);
     auto const chunk = bhttp::make_chunk(asio::buffer(piece));
     auto [failure, count] = co_await asio::async_write(stream_, chunk, k_as_tuple);
-    co_return !failure && !gone_;
+    co_return !failure && !disconnected_;
   }
 
   awaitable<void> end() override {
-    if (gone_) co_return;
+    if (disconnected_) co_return;
     keep_alive_ = keep_alive_ && !draining_;
     auto const last = bhttp::make_chunk_last();
     auto [failure, count] = co_await asio::async_write(stream_, last, k_as_tuple);
     ended_ = !failure;
   }
 
-  bool is_gone() const override { return gone_; }
-  void on_gone(std::function<void()> listener) override { on_gone_ = std::move(listener); }
+  bool is_disconnected() const override { return disconnected_; }
+  void on_disconnect(std::function<void()> listener) override {
+    on_disconnect_ = std::move(listener);
+  }
 
-  /// Runs beside the answering of a request until `stop_watching`.
-  awaitable<void> watch(std::shared_ptr<connection> self) {
+  /// Detects a disconnect while a request is being answered, until `stop_watching`.
+  awaitable<void> watch_disconnect(std::shared_ptr<connection> self) {
     auto [failure] = co_await stream_.socket().async_wait(
         tcp::socket::wait_read, asio::bind_cancellation_slot(stop_watch_.slot(), k_as_tuple));
     if (failure || ended_) co_return;
@@ -107,12 +109,12 @@
     stream_.socket().non_blocking(true, peeked);
     stream_.socket().receive(asio::buffer(&probe, 1), tcp::socket::message_peek, peeked);
     if (!peeked || peeked == asio::error::would_block) co_return;
-    gone_ = true;
-    if (on_gone_) on_gone_();
+    disconnected_ = true;
+    if (on_disconnect_) on_disconnect_();
   }
 
   void stop_watching() {
-    on_gone_ = nullptr;
+    on_disconnect_ = nullptr;
     stop_watch_.emit(asio::cancellation_type::all);
   }
 
@@ -121,32 +123,32 @@
   beast::flat_buffer buffer_;
   bool const& draining_;
   asio::cancellation_signal stop_watch_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnect_;
   unsigned version_ = 11;
   bool keep_alive_ = true;
   bool head_only_ = false;
   bool begun_ = false;
   bool ended_ = false;
-  bool gone_ = false;
+  bool disconnected_ = false;
 };
 
-ingress::ingress(asio::io_context& context, request_handler on_request,
-                 std::size_t most_connections)
+ingress::ingress(asio::io_context& context, request_handler on_request, std::size_t max_connections)
     : context_(context),
       on_request_(std::move(on_request)),
-      most_connections_(most_connections),
+      max_connections_(max_connections),
       acceptor_(context) {}
 
 ingress::~ingress() = default;
 
-std::string ingress::listen(endpoint const& where) {
+std::string ingress::listen(endpoint const& bind_address) {
   beast::error_code failure;
-  tcp::endpoint const local(asio::ip::make_address(where.address, failure), where.port);
+  tcp::endpoint const local(asio::ip::make_address(bind_address.address, failure),
+                            bind_address.port);
   if (!failure) acceptor_.open(local.protocol(), failure);
   if (!failure) acceptor_.set_option(asio::socket_base::reuse_address(true), failure);
   if (!failure) acceptor_.bind(local, failure);
   if (!failure) acceptor_.listen(asio::socket_base::max_listen_connections, failure);
-  if (failure) return where.to_string() + ": " + failure.message();
+  if (failure) return bind_address.to_string() + ": " + failure.message();
   spawn(context_, accept_loop());
   return {};
 }
@@ -167,69 +169,69 @@
     if (failure == asio::error::operation_aborted) co_return;
     if (failure) {
       log_line(log_level::warning, k_part, "Accept failed.", {{"error", failure.message()}});
-      co_await wait_for(k_accept_pause);
+      co_await wait_for(k_accept_retry_delay);
       continue;
     }
-    if (connections_ >= most_connections_) continue;  // the socket closes unread
+    if (connections_ >= max_connections_) continue;  // closes the socket
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     spawn(context_, serve(std::make_shared<connection>(std::move(socket), draining_)));
   }
 }
 
-awaitable<void> ingress::serve(std::shared_ptr<connection> peer) {
+awaitable<void> ingress::serve(std::shared_ptr<connection> client) {
   ++connections_;
-  bool more = true;
-  while (more) more = co_await serve_one(peer);
+  bool keep_open = true;
+  while (keep_open) keep_open = co_await serve_one(client);
   beast::error_code ignored;
-  peer->stream().socket().shutdown(tcp::socket::shutdown_send, ignored);
+  client->stream().socket().shutdown(tcp::socket::shutdown_send, ignored);
   --connections_;
 }
 
-awaitable<bool> ingress::serve_one(std::shared_ptr<connection> peer) {
+awaitable<bool> ingress::serve_one(std::shared_ptr<connection> client) {
   bhttp::request_parser<bhttp::string_body> parser;
   parser.header_limit(static_cast<std::uint32_t>(limits_.header_bytes));
   parser.body_limit(limits_.body_bytes);
-  if (peer->buffer().size() == 0) {
-    peer->stream().expires_after(limits_.idle_timeout);
-    auto [failure, count] = co_await peer->stream().async_read_some(
-        peer->buffer().prepare(limits_.header_bytes), k_as_tuple);
+  if (client->buffer().size() == 0) {
+    client->stream().expires_after(limits_.idle_timeout);
+    auto [failure, count] = co_await client->stream().async_read_some(
+        client->buffer().prepare(limits_.header_bytes), k_as_tuple);
     if (failure) co_return false;
-    peer->buffer().commit(count);
+    client->buffer().commit(count);
   }
-  peer->stream().expires_after(limits_.header_timeout);
+  client->stream().expires_after(limits_.header_timeout);
   auto [head_failure, head] =
-      co_await bhttp::async_read_header(peer->stream(), peer->buffer(), parser, k_as_tuple);
+      co_await bhttp::async_read_header(client->stream(), client->buffer(), parser, k_as_tuple);
   beast::error_code failure = head_failure;
   if (!failure && http::header(parser.get(), "Expect") == "100-continue") {
-    bhttp::response<bhttp::empty_body> go_on(http::status::continue_, 11);
-    co_await bhttp::async_write(peer->stream(), go_on, k_as_tuple);
+    bhttp::response<bhttp::empty_body> continue_response(http::status::continue_, 11);
+    co_await bhttp::async_write(client->stream(), continue_response, k_as_tuple);
   }
   if (!failure && !parser.is_done()) {
-    peer->stream().expires_after(k_body_timeout);
+    client->stream().expires_after(k_body_timeout);
     auto [body_failure, body] =
-        co_await bhttp::async_read(peer->stream(), peer->buffer(), parser, k_as_tuple);
+        co_await bhttp::async_read(client->stream(), client->buffer(), parser, k_as_tuple);
     failure = body_failure;
   }
   if (failure) {
-    if (has_left(failure)) co_return false;
-    http::status const refusal = status_for(failure);
+    if (is_disconnect(failure)) co_return false;
+    http::status const error_status = status_for(failure);
     log_line(log_level::info, k_part, "Request can't be read.",
-             {{"status", static_cast<unsigned>(refusal)}, {"error", failure.message()}});
-    peer->begin_request(http::request());
-    co_await peer->answer(http::make_response(refusal, "{\"reason\":\"" + failure.message() + "\"}",
-                                              http::k_problem_json));
+             {{"status", static_cast<unsigned>(error_status)}, {"error", failure.message()}});
+    client->begin_request(http::request());
+    co_await client->answer(http::make_response(
+        error_status, "{\"reason\":\"" + failure.message() + "\"}", http::k_problem_json));
     co_return false;
   }
-  peer->stream().expires_never();
+  client->stream().expires_never();
   http::request message = parser.release();
-  peer->begin_request(message);
+  client->begin_request(message);
   ++in_flight_;
-  spawn(context_, peer->watch(peer));
-  co_await on_request_(std::move(message), *peer);
-  peer->stop_watching();
+  spawn(context_, client->watch_disconnect(client));
+  co_await on_request_(std::move(message), *client);
+  client->stop_watching();
   --in_flight_;
-  co_return peer->may_go_on();
+  co_return client->can_continue();
 }
 
 }  // namespace frostline::calls
--- a/src/calls/ingress.h
+++ b/src/calls/ingress.h
@@ -1,4 +1,4 @@
-/// @file Where clients connect: reads requests, watches whether the client stays, sends answers.
+/// @file Accepts client connections, reads requests, detects disconnects and sends answers.
 #pragma once
 
 #include <functional>
@@ -19,14 +19,14 @@
 
 class ingress {
  public:
-  ingress(asio::io_context& context, request_handler on_request, std::size_t most_connections);
+  ingress(asio::io_context& context, request_handler on_request, std::size_t max_connections);
   ~ingress();
 
-  /// Binds and listens. @return an error text; empty if it listens.
-  std::string listen(endpoint const& where);
+  /// Binds and listens. @return an error message; empty on success.
+  std::string listen(endpoint const& bind_address);
   std::uint16_t port() const;
   void set_limits(client_limits limits) { limits_ = limits; }
-  /// From now on each answer ends its connection.
+  /// Closes each connection after its next answer.
   void drain() { draining_ = true; }
   void close_listener();
   std::size_t in_flight() const { return in_flight_; }
@@ -35,12 +35,12 @@
   class connection;
 
   awaitable<void> accept_loop();
-  awaitable<void> serve(std::shared_ptr<connection> peer);
-  awaitable<bool> serve_one(std::shared_ptr<connection> peer);
+  awaitable<void> serve(std::shared_ptr<connection> client);
+  awaitable<bool> serve_one(std::shared_ptr<connection> client);
 
   asio::io_context& context_;
   request_handler on_request_;
-  std::size_t most_connections_;
+  std::size_t max_connections_;
   client_limits limits_;
   tcp::acceptor acceptor_;
   std::size_t connections_ = 0;
--- a/src/calls/message_fields.h
+++ b/src/calls/message_fields.h
@@ -1,14 +1,14 @@
-/// @file What a forwarded message's headers say, and which of them are not passed on. Pure.
+/// @file Header handling of forwarded messages. No I/O.
 #pragma once
 
 #include "http/message.h"
 
 namespace frostline::calls {
 
-/// Removes headers that concern one connection (RFC 9110, 7.6.1), those that Connection names too.
+/// Removes hop-by-hop headers (RFC 9110, section 7.6.1), including those that Connection names.
 void strip_hop_by_hop(http::bhttp::fields& headers);
 
-/// Whether an answer comes in events, one by one.
+/// Returns true if the answer is an event stream.
 bool has_events(http::response const& head);
 
 }  // namespace frostline::calls
--- a/src/calls/route_table.cc
+++ b/src/calls/route_table.cc
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-std::set<std::string> services_of_calls(configuration const& all) {
+std::set<std::string> callable_services(configuration const& all) {
   std::set<std::string> services;
-  for (auto const& [name, one] : all.services) {
-    if (!one.engines) services.insert(name);
+  for (auto const& [name, definition] : all.services) {
+    if (!definition.engines) services.insert(name);
   }
-  for (route const& one : all.routes) {
-    if (one.kind == route_kind::job) continue;
-    for (service_share const& share : one.shares) services.insert(share.service);
+  for (route const& candidate : all.routes) {
+    if (candidate.kind == route_kind::job) continue;
+    for (service_share const& share : candidate.shares) services.insert(share.service);
   }
   return services;
 }
@@ -27,8 +27,8 @@
     : all_(std::move(all)),
       in_force_since_(in_force_since),
       tenants_(all_.tenants),
-      services_of_calls_(calls::services_of_calls(all_)) {
-  for (route const& one : all_.routes) by_host_[one.host].push_back(&one);
+      callable_services_(calls::callable_services(all_)) {
+  for (route const& candidate : all_.routes) by_host_[candidate.host].push_back(&candidate);
   for (auto& [host, routes] : by_host_) {
     std::stable_sort(routes.begin(), routes.end(), [](route const* left, route const* right) {
       return left->path_prefix.size() > right->path_prefix.size();
@@ -39,8 +39,8 @@
 route const* route_table::match(std::string_view host, std::string_view path) const {
   auto const found = by_host_.find(host.substr(0, host.find(':')));
   if (found == by_host_.end()) return nullptr;
-  for (route const* one : found->second) {
-    if (path.starts_with(one->path_prefix)) return one;
+  for (route const* candidate : found->second) {
+    if (path.starts_with(candidate->path_prefix)) return candidate;
   }
   return nullptr;
 }
@@ -48,8 +48,8 @@
 bool route_table::has_public_job_route(std::string_view host) const {
   auto const found = by_host_.find(host.substr(0, host.find(':')));
   if (found == by_host_.end()) return false;
-  return std::any_of(found->second.begin(), found->second.end(), [](route const* one) {
-    return one->kind == route_kind::job && one->is_public;
+  return std::any_of(found->second.begin(), found->second.end(), [](route const* candidate) {
+    return candidate->kind == route_kind::job && candidate->is_public;
   });
 }
 
@@ -58,12 +58,12 @@
   return found == all_.services.end() ? nullptr : &found->second;
 }
 
-std::string const& share_picker::pick(route const& one) {
-  if (one.shares.size() == 1) return one.shares.front().service;
-  auto& credits = credits_[one.name];
+std::string const& share_picker::pick(route const& matched_route) {
+  if (matched_route.shares.size() == 1) return matched_route.shares.front().service;
+  auto& credits = credits_[matched_route.name];
   std::int64_t total = 0;
   service_share const* best = nullptr;
-  for (service_share const& share : one.shares) {
+  for (service_share const& share : matched_route.shares) {
     std::int64_t& credit = credits[share.service];
     credit += share.weight;
     total += share.weight;
@@ -75,11 +75,11 @@
 
 bool active_configuration::offer(configuration next) {
   if (table_ && next.version <= table_->all().version) return false;
-  std::uint64_t const before = table_ ? table_->all().version : 0;
+  std::uint64_t const previous_version = table_ ? table_->all().version : 0;
   table_ = std::make_shared<route_table const>(std::move(next), boot_clock::now());
   log_line(log_level::info, k_part, "Configuration in force.",
            {{"version", table_->all().version},
-            {"before", before},
+            {"before", previous_version},
             {"routes", table_->all().routes.size()},
             {"routes_left_out", table_->all().skipped_routes},
             {"tenants", table_->all().tenants.size()}});
--- a/src/calls/route_table.h
+++ b/src/calls/route_table.h
@@ -1,4 +1,4 @@
-/// @file Routes in force: which service a request goes to, and under which bounds. Pure.
+/// @file The routes in force: maps a request to a service and to its limits. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 
 namespace frostline::calls {
 
-/// What may be repeated.
+/// How often requests of a route may run.
 enum class route_kind {
   /// May run more than once.
   safe,
-  /// At most once for each request.
+  /// Runs at most once per request.
   unsafe,
-  /// Answered by events; at most once unless it is resumable.
+  /// Answered by an event stream; runs at most once unless the route is resumable.
   streaming,
-  /// Takes batch jobs.
+  /// Accepts batch jobs.
   job,
 };
 
@@ -42,24 +42,23 @@
   std::uint32_t priority = 0;
   std::uint32_t max_attempts = 1;
   bool resumable = false;
-  /// Not empty.
+  /// Never empty.
   std::vector<service_share> shares;
-  /// Jobs: results are due that long after submission.
+  /// Jobs: time after submission by which results are due.
   milliseconds due{0};
-  /// Jobs: an item may be given up that long after submission; 0: never.
+  /// Jobs: time after submission after which an item may be dropped; 0: never.
   milliseconds max_queue{0};
-  /// Jobs: all tokens of a sample come from one version.
+  /// Jobs: all tokens of a sample must come from one weight version.
   bool single_version = false;
-  /// Callers need no key, also where there are tenants.
+  /// Callers need no key, even if tenants are configured.
   bool is_public = false;
 
-  /// Whether a request may be sent again after it may have run.
+  /// Returns true if a request that may have run may be sent again.
   bool is_repeatable() const {
     return kind == route_kind::safe || (kind == route_kind::streaming && resumable);
   }
 };
 
-/// A pool of model engines.
 struct engine_pool {
   std::uint32_t slots = 1;
   std::uint64_t cache_tokens = 0;
@@ -69,11 +68,11 @@
 struct service {
   std::string name;
   std::uint32_t max_connections = 100;
-  /// Services of model engines only.
+  /// Null unless the servers are model engines.
   std::shared_ptr<engine_pool const> engines;
 };
 
-/// What a client may send, and how slowly.
+/// Limits on the size and the pace of a client's requests.
 struct client_limits {
   std::size_t header_bytes = 16 * 1024;
   std::size_t body_bytes = 32 * 1024 * 1024;
@@ -81,61 +80,60 @@
   milliseconds idle_timeout{15'000};
 };
 
-/// A whole configuration as an operator accepted it.
+/// A complete configuration as an operator accepted it.
 struct configuration {
   std::uint64_t version = 0;
   std::vector<route> routes;
-  /// Entries that no request can go by, since they name no service.
+  /// Routes that were skipped because they name no service.
   std::size_t skipped_routes = 0;
   std::map<std::string, service> services;
   client_limits limits;
-  /// None: callers need no keys. Without fault, see validate_tenants.
+  /// If empty, callers need no keys. Must pass validate_tenants.
   std::vector<tenant> tenants;
 };
 
-/// Services whose servers this node's callers may reach: all but those of engines that only jobs
-/// are run by.
-std::set<std::string> services_of_calls(configuration const& all);
+/// Services that clients may call directly: all except engine pools that only job routes use.
+std::set<std::string> callable_services(configuration const& all);
 
-/// Immutable; requests hold on to the table that they began with.
+/// Immutable; a request keeps the table that it began with.
 class route_table {
  public:
-  /// @param in_force_since for the log.
+  /// @param in_force_since reported in log lines.
   explicit route_table(configuration all, time_point in_force_since = time_point::min());
 
-  /// The route of `host` whose prefix begins `path` and is longest; null if there is none.
+  /// Returns the route of `host` with the longest prefix of `path`, or null.
   route const* match(std::string_view host, std::string_view path) const;
   configuration const& all() const { return all_; }
   time_point in_force_since() const { return in_force_since_; }
   service const* find_service(std::string const& name) const;
   tenant_index const& tenants() const { return tenants_; }
-  std::set<std::string> const& services_of_calls() const { return services_of_calls_; }
-  /// Whether jobs can be handed in at this host without a key.
+  std::set<std::string> const& callable_services() const { return callable_services_; }
+  /// Returns true if jobs can be submitted at this host without a key.
   bool has_public_job_route(std::string_view host) const;
 
  private:
   configuration all_;
   time_point in_force_since_;
-  /// By host, longest prefix first.
+  /// Longest prefix first, by host.
   std::map<std::string, std::vector<route const*>, std::less<>> by_host_;
   tenant_index tenants_;
-  std::set<std::string> services_of_calls_;
+  std::set<std::string> callable_services_;
 };
 
-/// Spreads the requests of a route over its services so that each part gets its share at any
-/// moment (smooth weighted round robin).
+/// Distributes the requests of a route over its services by smooth weighted round robin, so that
+/// the shares also hold over short intervals.
 class share_picker {
  public:
-  std::string const& pick(route const& one);
+  std::string const& pick(route const& matched_route);
 
  private:
   std::map<std::string, std::map<std::string, std::int64_t>> credits_;
 };
 
-/// The configuration in force on this node, which never goes back to an older version.
+/// The configuration in force on this node. Its version never decreases.
 class active_configuration {
  public:
-  /// @return false if `next` is older than the one in force, or the same.
+  /// @return false if `next` is not newer than the configuration in force.
   bool offer(configuration next);
   /// Null before the first configuration.
   std::shared_ptr<route_table const> const& table() const { return table_; }
--- a/src/calls/tenants.cc
+++ b/src/calls/tenants.cc
@@ -8,38 +8,39 @@
 
 constexpr std::string_view k_scheme = "Bearer";
 
-std::string place_of(std::size_t index) { return "tenants[" + std::to_string(index) + "]"; }
+std::string entry_name(std::size_t index) { return "tenants[" + std::to_string(index) + "]"; }
 
 }  // namespace
 
 std::string validate_tenants(std::vector<tenant> const& tenants) {
   std::set<std::string_view> names;
-  std::unordered_map<std::string_view, std::size_t> holders;
+  std::unordered_map<std::string_view, std::size_t> key_owners;
   for (std::size_t index = 0; index < tenants.size(); ++index) {
-    tenant const& one = tenants[index];
-    if (one.name.empty()) return place_of(index) + " has no name";
-    if (!names.insert(one.name).second) {
-      return place_of(index) + " has the name of an earlier tenant: " + one.name;
+    tenant const& current = tenants[index];
+    if (current.name.empty()) return entry_name(index) + " has no name";
+    if (!names.insert(current.name).second) {
+      return entry_name(index) + " has the name of an earlier tenant: " + current.name;
     }
-    for (std::size_t place = 0; place < one.api_keys.size(); ++place) {
-      std::string const where = place_of(index) + ".api_keys[" + std::to_string(place) + "]";
-      if (one.api_keys[place].empty()) return where + " is empty";
-      auto const [held, first] = holders.emplace(one.api_keys[place], index);
-      if (!first) return where + " is also a key of " + place_of(held->second);
+    for (std::size_t key_index = 0; key_index < current.api_keys.size(); ++key_index) {
+      std::string const key_name =
+          entry_name(index) + ".api_keys[" + std::to_string(key_index) + "]";
+      if (current.api_keys[key_index].empty()) return key_name + " is empty";
+      auto const [owner, is_first] = key_owners.emplace(current.api_keys[key_index], index);
+      if (!is_first) return key_name + " is also a key of " + entry_name(owner->second);
     }
   }
   return {};
 }
 
-std::string_view to_string(credentials verdict) {
-  switch (verdict) {
-    case credentials::not_needed:
+std::string_view to_string(credential_status key_check) {
+  switch (key_check) {
+    case credential_status::not_needed:
       return "not_needed";
-    case credentials::valid:
+    case credential_status::valid:
       return "valid";
-    case credentials::missing:
+    case credential_status::missing:
       return "missing_key";
-    case credentials::unknown:
+    case credential_status::unknown:
       return "unknown_key";
   }
   return "unknown";
@@ -50,16 +51,16 @@
   if (space == std::string_view::npos) return {};
   if (!boost::algorithm::iequals(authorization.substr(0, space), k_scheme)) return {};
   std::string_view key = authorization.substr(space);
-  auto const first = key.find_first_not_of(" \t");
-  if (first == std::string_view::npos) return {};
+  auto const key_begin = key.find_first_not_of(" \t");
+  if (key_begin == std::string_view::npos) return {};
   auto const last = key.find_last_not_of(" \t");
-  return key.substr(first, last - first + 1);
+  return key.substr(key_begin, last - key_begin + 1);
 }
 
 tenant_index::tenant_index(std::vector<tenant> const& tenants) {
-  for (tenant const& one : tenants) {
-    by_name_.emplace(one.name, &one);
-    for (std::string const& key : one.api_keys) by_key_.emplace(key, &one);
+  for (tenant const& current : tenants) {
+    by_name_.emplace(current.name, &current);
+    for (std::string const& key : current.api_keys) by_key_.emplace(key, &current);
   }
 }
 
@@ -73,13 +74,14 @@
   return found == by_name_.end() ? nullptr : found->second;
 }
 
-credentials tenant_index::check(std::string_view authorization, tenant const*& who) const {
-  who = nullptr;
-  if (!has_tenants()) return credentials::not_needed;
+credential_status tenant_index::check(std::string_view authorization,
+                                      tenant const*& matched_tenant) const {
+  matched_tenant = nullptr;
+  if (!has_tenants()) return credential_status::not_needed;
   std::string_view const key = bearer_key(authorization);
-  if (key.empty()) return credentials::missing;
-  who = find_by_key(key);
-  return who == nullptr ? credentials::unknown : credentials::valid;
+  if (key.empty()) return credential_status::missing;
+  matched_tenant = find_by_key(key);
+  return matched_tenant == nullptr ? credential_status::unknown : credential_status::valid;
 }
 
 }  // namespace frostline::calls
--- a/src/calls/tenants.h
+++ b/src/calls/tenants.h
@@ -1,4 +1,4 @@
-/// @file Tenants and the keys by which their callers are known. Pure.
+/// @file Tenants and their API keys. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,51 +9,50 @@
 
 namespace frostline::calls {
 
-/// Who a request is made for.
 struct tenant {
   std::string name;
-  /// Goes before the priority of a route; 0 is the most urgent.
+  /// Takes precedence over the priority of a route; 0 is the most urgent.
   std::uint32_t priority = 0;
-  /// Any of these proves that a caller is the tenant's.
+  /// Any of these keys identifies the tenant.
   std::vector<std::string> api_keys;
 };
 
-/// Why these tenants can't be told apart, by their places in the list and never by their keys:
-/// a tenant without a name, two of one name, an empty key, a key that stands twice.
-/// @return an empty text if nothing is wrong.
+/// Checks for tenants without a name, duplicate names, empty keys and duplicate keys. The message
+/// names entries by their index and never contains a key.
+/// @return an error message; empty if the tenants are valid.
 std::string validate_tenants(std::vector<tenant> const& tenants);
 
-/// What the credentials of a request are worth.
-enum class credentials {
-  /// No tenants are configured: nobody needs a key.
+/// Result of a check of a request's credentials.
+enum class credential_status {
+  /// No tenants are configured, so no key is needed.
   not_needed,
-  /// The key of a known tenant.
+  /// The key belongs to a tenant.
   valid,
-  /// No key, or another scheme than Bearer.
+  /// There is no key, or the scheme is not Bearer.
   missing,
-  /// A key that no tenant holds.
+  /// The key belongs to no tenant.
   unknown,
 };
 
-std::string_view to_string(credentials verdict);
+std::string_view to_string(credential_status key_check);
 
-/// The key in the value of an Authorization header (RFC 6750, 2.1); empty if there is none.
+/// Returns the key of an Authorization header (RFC 6750, section 2.1), or an empty view.
 std::string_view bearer_key(std::string_view authorization);
 
-/// Finds the tenant that holds a key.
+/// Finds tenants by key or name.
 class tenant_index {
  public:
   tenant_index() = default;
-  /// @param tenants outlive the index; without fault, see validate_tenants.
+  /// @param tenants must outlive the index and pass validate_tenants.
   explicit tenant_index(std::vector<tenant> const& tenants);
 
   bool has_tenants() const { return !by_name_.empty(); }
-  /// Null if no tenant holds the key.
+  /// Null if the key belongs to no tenant.
   tenant const* find_by_key(std::string_view key) const;
   tenant const* find_by_name(std::string_view name) const;
-  /// @param authorization value of the request's header; empty if it has none.
-  /// @param who set to the tenant if the verdict is valid, else to null.
-  credentials check(std::string_view authorization, tenant const*& who) const;
+  /// @param authorization value of the header; empty if the request has none.
+  /// @param matched_tenant set to the tenant if the result is valid, else to null.
+  credential_status check(std::string_view authorization, tenant const*& matched_tenant) const;
 
  private:
   std::unordered_map<std::string_view, tenant const*> by_key_;
--- a/src/gateway/adapter.h
+++ b/src/gateway/adapter.h
@@ -1,5 +1,5 @@
-/// @file What the gateway needs from the platform that it stands on. An adapter only translates;
-/// the gateway keeps decisions, state and recovery.
+/// @file Interface to the platform that the gateway runs on. An adapter only translates; decisions,
+/// state and recovery belong to the gateway.
 #pragma once
 
 #include <cstdint>
@@ -20,17 +20,17 @@
 
 namespace frostline::gateway {
 
-/// Keys under which the platform itself writes to the record store.
+/// Record store keys that the platform writes.
 struct platform_keys {
-  /// One record for each server.
+  /// Prefix of the servers' records, one per server.
   std::string servers_prefix;
-  /// The newest configuration, whole.
+  /// Key of the current configuration.
   std::string configuration;
-  /// All that operators and trainers write.
+  /// Prefix of all records that operators and trainers write.
   std::string operators_prefix;
 };
 
-/// What an operator's or a trainer's record asks for.
+/// Request of an operator or a trainer, parsed from its record.
 struct operator_request {
   enum class request_kind { name_version, empty_machine };
   request_kind kind = request_kind::name_version;
@@ -39,10 +39,10 @@
   std::string machine;
 };
 
-/// A client's call about a batch job.
+/// Call of a client about a batch job.
 struct job_request {
   rpc::JobCallT call;
-  /// Longest time that the client waits, if it said so.
+  /// How long the client waits, if it says so.
   std::optional<milliseconds> deadline;
 };
 
@@ -52,24 +52,24 @@
 
   virtual kv::record_store& store() = 0;
   virtual engines::engine_control& engines() = 0;
-  /// Null if the platform has none for this system.
+  /// Null if the platform offers no such service.
   virtual usage::duty_service* duty_service() = 0;
   virtual calls::header_names const& names() const = 0;
   virtual platform_keys const& keys() const = 0;
 
-  /// @param fault set to what is wrong, without any key of a tenant, if nothing is returned.
+  /// @param fault set to the reason if nullopt is returned. Never contains a tenant's key.
   virtual std::optional<calls::configuration> parse_configuration(std::string_view value,
                                                                   std::string& fault) = 0;
   virtual std::optional<directory::server> parse_server(std::string_view key,
                                                         std::string_view value) = 0;
   virtual std::optional<operator_request> parse_request(std::string_view key,
                                                         std::string_view value) = 0;
-  /// The record that tells the operator that a machine holds nothing any more.
+  /// Returns the write that reports a machine as empty to the operator.
   virtual kv::operation report_empty(std::string const& machine) = 0;
 
-  /// A call about a job that exists, if the request is one.
+  /// Returns a call about an existing job, or nullopt if the request is none.
   virtual std::optional<job_request> parse_job_request(http::request const& message) = 0;
-  /// A job in the body of a request to a job route; nothing if it is malformed.
+  /// Parses the job in the body of a request to a job route. @return nullopt if it is malformed.
   virtual std::optional<job_request> parse_submission(http::request const& message) = 0;
   virtual http::response write_job_reply(rpc::JobCallT const& call,
                                          rpc::JobReplyT const& reply) = 0;
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -7,11 +7,11 @@
 #include "calls/forwarder.h"
 #include "calls/ingress.h"
 #include "gateway/client_calls.h"
+#include "gateway/directory_updater.h"
 #include "gateway/duties.h"
 #include "gateway/metrics.h"
-#include "gateway/operator_requests.h"
-#include "gateway/pools.h"
-#include "gateway/server_watch.h"
+#include "gateway/operator_request_reader.h"
+#include "gateway/pool_registry.h"
 #include "http/server.h"
 #include "jobs/job_client.h"
 #include "quarantine/service.h"
@@ -22,34 +22,35 @@
 namespace {
 
 constexpr std::string_view k_part = "gateway";
-/// Delay before a weak node claims its zone's record, as a multiple of that for a pool: a
-/// zone without a relay is served by other zones' relays, so there is time.
+/// A weak node delays its claim of the zone's record by this multiple of its delay for a pool:
+/// relays of other zones serve a zone without a relay, so the claim is less urgent.
 constexpr int k_relay_claim_delay_factor = 4;
-/// A loop that did not turn for that long stood still: what it believes may be old.
-constexpr milliseconds k_standstill{1200};
+/// If an iteration of the housekeeping loop takes this long, the process was suspended and its
+/// records may be stale.
+constexpr milliseconds k_suspension_threshold{1200};
 constexpr milliseconds k_housekeeping_interval{250};
-/// Time in which the platform learns that a node stops; it serves new clients meanwhile.
+/// How long a stopping node serves new clients, so that the platform can redirect them.
 constexpr milliseconds k_leave_notice{2600};
 constexpr milliseconds k_stop_margin{700};
-constexpr milliseconds k_stop_poll{20};
-constexpr milliseconds k_last_requests{150};
+constexpr milliseconds k_stop_poll_interval{20};
+constexpr milliseconds k_final_accept_time{150};
 constexpr std::size_t k_peer_body_bytes = 64 << 20;
-/// Nodes that bring evidence of crashes together: one is enough, two more outlast it.
-constexpr std::size_t k_collectors = 3;
-/// Age of records that come without delay: a wait at a relay (0.7 s), and the relay's own look at
+/// Nodes that collect crash reports; one is enough, the others are redundant.
+constexpr std::size_t k_evidence_collectors = 3;
+/// Records up to this age count as current: a poll of a relay (0.7 s) and the relay's own poll of
 /// the store, with a margin.
-constexpr milliseconds k_current_age{2000};
+constexpr milliseconds k_max_current_age{2000};
 constexpr std::string_view k_metrics_path = "/metrics";
 constexpr std::string_view k_plain_text = "text/plain; version=0.0.4";
 
 }  // namespace
 
 struct application::components {
-  components(asio::io_context& context, settings all, platform_adapter& adapter);
+  components(asio::io_context& context, settings initial_settings, platform_adapter& adapter);
 
   std::string start();
   awaitable<void> stop(std::function<void()> on_stopped);
-  void reload(settings const& all);
+  void reload(settings const& new_settings);
   application_state state() const { return state_; }
   asio::io_context& context() { return context_; }
 
@@ -58,10 +59,11 @@
   void listen_to_records();
   milliseconds records_age() const { return feed_.age(boot_clock::now()); }
   relay::feed_options make_feed_options() const;
-  /// @param record whose key begins like the configuration's; another writer's is passed over.
+  /// @param record may be another record whose key has the configuration's key as a prefix; such a
+  /// record is ignored.
   void take_configuration_record(kv::key_value const& record);
   void take_configuration(std::string_view value);
-  /// Takes up, or lays down, what only owners of a pool do.
+  /// Starts or stops what only owners of pools do.
   void note_ownership();
   void note_progress();
   awaitable<void> housekeeping_loop();
@@ -82,28 +84,29 @@
   usage::run_counter runs_;
   quarantine::service quarantine_{quarantine::service_dependencies{
       context_, adapter_.store(), transport_, settings_.id, settings_.peers,
-      [this] { return feed_.relay_addresses(k_collectors); },
-      [this] { return feed_.age(boot_clock::now()) < k_current_age; },
+      [this] { return feed_.relay_addresses(k_evidence_collectors); },
+      [this] { return feed_.age(boot_clock::now()) < k_max_current_age; },
       quarantine::server_knowledge{
-          [this](directory::server const& one, time_point made_before) {
-            return connections_.has_open(one.id, made_before);
+          [this](directory::server const& server, time_point opened_before) {
+            return connections_.has_open(server.id, opened_before);
           },
-          [this](directory::server const& one, http::beast::tcp_stream stream) {
-            connections_.keep(one.id, std::move(stream));
+          [this](directory::server const& server, http::beast::tcp_stream stream) {
+            connections_.add_idle(server.id, std::move(stream));
           },
           &servers_}}};
   calls::forwarder forwarder_{
       calls::forwarder_dependencies{context_, servers_, connections_, selector_, adapter_.names(),
                                     runs_, quarantine_, [this] { return records_age(); }}};
-  pools pools_{pools_dependencies{context_, settings_, adapter_, transport_, configuration_,
-                                  servers_, connections_, forwarder_, quarantine_}};
-  /// None if the platform takes no calls of one node at a time.
+  pool_registry pools_{pool_registry_dependencies{context_, settings_, adapter_, transport_,
+                                                  configuration_, servers_, connections_,
+                                                  forwarder_, quarantine_}};
+  /// Empty if the platform has no duty service, or if usage is not reported.
   std::optional<duties> duties_;
-  server_watch server_watch_{context_, adapter_, servers_, settings_.leave_time,
-                             [this] { return feed_.store_back_at(); }};
+  directory_updater directory_updater_{context_, adapter_, servers_, settings_.leave_time,
+                                       [this] { return feed_.store_back_at(); }};
   relay::record_feed feed_{context_, adapter_.store(), transport_, make_feed_options(),
                            [this] { return pools_.other_owner(); }};
-  operator_requests operator_requests_{
+  operator_request_reader operator_request_reader_{
       context_, adapter_, pools_, [this](std::string_view value) { take_configuration(value); }};
   jobs::job_client job_client_{context_, transport_, adapter_.store(), pools_.all(),
                                jobs::calling_node{settings_.id, settings_.peers.to_string(),
@@ -118,8 +121,9 @@
   std::unique_ptr<calls::ingress> ingress_;
 };
 
-application::application(asio::io_context& context, settings all, platform_adapter& adapter)
-    : components_(std::make_unique<components>(context, std::move(all), adapter)) {}
+application::application(asio::io_context& context, settings initial_settings,
+                         platform_adapter& adapter)
+    : components_(std::make_unique<components>(context, std::move(initial_settings), adapter)) {}
 
 application::~application() = default;
 
@@ -129,13 +133,13 @@
   spawn(components_->context(), components_->stop(std::move(on_stopped)));
 }
 
-void application::reload(settings const& all) { components_->reload(all); }
+void application::reload(settings const& new_settings) { components_->reload(new_settings); }
 
 application_state application::state() const { return components_->state(); }
 
-application::components::components(asio::io_context& context, settings all,
+application::components::components(asio::io_context& context, settings initial_settings,
                                     platform_adapter& adapter)
-    : context_(context), settings_(std::move(all)), adapter_(adapter) {
+    : context_(context), settings_(std::move(initial_settings)), adapter_(adapter) {
   usage::duty_service* const service = adapter_.duty_service();
   if (service != nullptr && settings_.usage_window > milliseconds(0)) {
     duties_.emplace(
@@ -157,8 +161,8 @@
       [this](http::request) -> awaitable<http::response> { co_return readiness(); });
   ingress_ = std::make_unique<calls::ingress>(
       context_,
-      [this](http::request message, calls::caller& from) {
-        return client_calls_.handle(std::move(message), from);
+      [this](http::request message, calls::caller& client) {
+        return client_calls_.handle(std::move(message), client);
       },
       settings_.connections);
   std::string failure = peers_->listen(settings_.peers);
@@ -175,12 +179,12 @@
     pools_.note_servers(ids);
     quarantine_.note_servers_changed();
   });
-  servers_.on_new_life([this](directory::server const& one) {
-    connections_.forget(one.id);
-    selector_.note_new_life(one.id);
+  servers_.on_new_life([this](directory::server const& server) {
+    connections_.forget(server.id);
+    selector_.note_restart(server.id);
   });
   listen_to_records();
-  feed_.on_store_back([this] { operator_requests_.resynchronize(); });
+  feed_.on_store_back([this] { operator_request_reader_.resynchronize(); });
   feed_.start();
   quarantine_.start();
   if (duties_) duties_->start();
@@ -205,10 +209,10 @@
   options.prefixes[relay::index_of(relay::topic::RELAYS)] = relay::zone_relays::records_prefix();
   options.prefixes[relay::index_of(relay::topic::SERVERS)] = adapter_.keys().servers_prefix;
   options.prefixes[relay::index_of(relay::topic::QUARANTINE)] = quarantine::records_of_quarantine();
-  options.servers_traits = server_watch_.traits();
+  options.servers_traits = directory_updater_.traits();
   options.wanted_servers = [this]() -> std::optional<std::set<std::string>> {
     if (!configuration_.table()) return std::nullopt;
-    return configuration_.table()->services_of_calls();
+    return configuration_.table()->callable_services();
   };
   options.processor_share = settings_.processor_share;
   options.claim_delay =
@@ -218,16 +222,16 @@
 
 void application::components::listen_to_records() {
   kv::follower_callbacks on_configuration;
-  on_configuration.snapshot = [this](kv::range_answer const& all) {
-    for (kv::key_value const& one : all.entries) take_configuration_record(one);
+  on_configuration.snapshot = [this](kv::range_answer const& records) {
+    for (kv::key_value const& record : records.entries) take_configuration_record(record);
   };
   on_configuration.event = [this](kv::watch_event const& event) {
     if (!event.deleted) take_configuration_record(event.entry);
   };
   kv::follower_callbacks on_owners;
-  on_owners.snapshot = [this](kv::range_answer const& all) {
-    pools_.take_owners(all);
-    if (duties_) duties_->take_owners(all);
+  on_owners.snapshot = [this](kv::range_answer const& records) {
+    pools_.take_owners(records);
+    if (duties_) duties_->take_owners(records);
     note_ownership();
   };
   on_owners.event = [this](kv::watch_event const& event) {
@@ -238,7 +242,7 @@
   };
   feed_.listen(relay::topic::CONFIGURATION, std::move(on_configuration));
   feed_.listen(relay::topic::OWNERS, std::move(on_owners));
-  feed_.listen(relay::topic::SERVERS, server_watch_.listener());
+  feed_.listen(relay::topic::SERVERS, directory_updater_.listener());
   feed_.listen(relay::topic::QUARANTINE, quarantine_.listener());
 }
 
@@ -250,7 +254,7 @@
              {{"config", configuration_.table()->all().version},
               {"servers", servers_.servers().size()},
               {"records_age_ms", feed_.age(boot_clock::now()).count()}});
-    // What the node knows can be read as soon as it calls itself ready.
+    // The log must be complete once the node reports that it is ready.
     flush_logs();
   }
   pools_.notify();
@@ -258,7 +262,7 @@
 
 void application::components::note_ownership() {
   feed_.set_owner(pools_.needs_engines());
-  operator_requests_.set_owner(pools_.owns_any());
+  operator_request_reader_.set_owner(pools_.owns_any());
 }
 
 void application::components::take_configuration_record(kv::key_value const& record) {
@@ -269,7 +273,7 @@
   std::string fault;
   auto parsed = adapter_.parse_configuration(value, fault);
   if (!parsed) {
-    log_line(log_level::error, k_part, "Configuration is malformed; the one before stays.",
+    log_line(log_level::error, k_part, "Configuration is malformed; keeping the previous one.",
              {{"fault", fault}});
     return;
   }
@@ -283,7 +287,7 @@
 void application::components::resynchronize(std::string_view cause) {
   log_line(log_level::warning, k_part, "Reading all records again.", {{"cause", cause}});
   feed_.resynchronize(cause);
-  operator_requests_.resynchronize();
+  operator_request_reader_.resynchronize();
 }
 
 awaitable<void> application::components::housekeeping_loop() {
@@ -293,8 +297,8 @@
     time_point const now = boot_clock::now();
     auto const pause = std::chrono::duration_cast<milliseconds>(now - last);
     last = now;
-    if (pause > k_standstill) resynchronize("this process stood still");
-    connections_.end_overdue(now);
+    if (pause > k_suspension_threshold) resynchronize("this process was suspended");
+    connections_.expire_overdue(now);
     connections_.clean(servers_);
     selector_.clean(servers_);
     quarantine_.clean(now);
@@ -311,40 +315,41 @@
 }
 
 http::response application::components::metrics_page() {
-  node_readings now;
-  now.config_version = configuration_.table() ? configuration_.table()->all().version : 0;
-  now.servers = servers_.servers().size();
-  now.malformed_servers = server_watch_.malformed();
-  now.calls = forwarder_.counters();
-  now.quarantine = quarantine_.counters();
-  now.quarantine_records = quarantine_.records();
-  now.connections_opened = connections_.opened();
-  now.logs_dropped = dropped_log_lines();
-  now.tenants_requests = runs_.total();
+  node_snapshot snapshot;
+  snapshot.config_version = configuration_.table() ? configuration_.table()->all().version : 0;
+  snapshot.servers = servers_.servers().size();
+  snapshot.malformed_servers = directory_updater_.malformed();
+  snapshot.calls = forwarder_.counters();
+  snapshot.quarantine = quarantine_.counters();
+  snapshot.quarantine_records = quarantine_.records();
+  snapshot.connections_opened = connections_.opened();
+  snapshot.logs_dropped = dropped_log_lines();
+  snapshot.tenants_requests = runs_.total();
   if (duties_) {
-    now.usage = usage_readings{duties_->is_holder(), duties_->reporter().counters(),
-                               duties_->reporter().late()};
+    snapshot.usage = usage_snapshot{duties_->is_holder(), duties_->reporter().counters(),
+                                    duties_->reporter().late()};
   }
-  now.role = feed_.role();
-  now.records = feed_.counters();
-  now.polls_answered = feed_.answers().answered();
-  now.whole_answers = feed_.answers().whole_answers();
-  now.whole_records = feed_.answers().whole_records();
-  for (relay::topic const one : relay::k_topics) {
-    now.records_held.emplace_back(rpc::EnumNameRecordTopic(one), feed_.view(one).records().size());
+  snapshot.role = feed_.role();
+  snapshot.records = feed_.counters();
+  snapshot.polls_answered = feed_.answers().answered();
+  snapshot.whole_answers = feed_.answers().whole_answers();
+  snapshot.whole_records = feed_.answers().whole_records();
+  for (relay::topic const topic : relay::k_topics) {
+    snapshot.records_held.emplace_back(rpc::EnumNameRecordTopic(topic),
+                                       feed_.view(topic).records().size());
   }
-  now.records_age = feed_.age(boot_clock::now());
-  for (relay::topic const one : relay::k_topics) {
-    auto const watch_age = feed_.watch_age(one, boot_clock::now());
-    if (watch_age) now.watch_ages.emplace_back(rpc::EnumNameRecordTopic(one), *watch_age);
+  snapshot.records_age = feed_.age(boot_clock::now());
+  for (relay::topic const topic : relay::k_topics) {
+    auto const watch_age = feed_.watch_age(topic, boot_clock::now());
+    if (watch_age) snapshot.watch_ages.emplace_back(rpc::EnumNameRecordTopic(topic), *watch_age);
   }
-  for (auto const& [name, one] : pools_.all()) {
-    now.pools.push_back({name, one.lease->state() == ownership::lease_state::owner,
-                         one.owner->jobs(), one.owner->runner().running(),
-                         one.owner->runner().counters(), one.owner->runner().scoring(),
-                         one.owner->orders().sent(), one.owner->log().transactions()});
+  for (auto const& [name, pool] : pools_.all()) {
+    snapshot.pools.push_back({name, pool.lease->state() == ownership::lease_state::owner,
+                              pool.owner->jobs(), pool.owner->runner().running(),
+                              pool.owner->runner().counters(), pool.owner->runner().scoring(),
+                              pool.owner->orders().sent(), pool.owner->log().transactions()});
   }
-  return http::make_response(http::status::ok, metrics_.write(now), k_plain_text);
+  return http::make_response(http::status::ok, metrics_.write(snapshot), k_plain_text);
 }
 
 awaitable<http::response> application::components::handle_peer(http::request message) {
@@ -356,14 +361,14 @@
   co_return http::make_response(http::status::not_found, "", "text/plain");
 }
 
-void application::components::reload(settings const& all) {
-  settings_.order_gap = all.order_gap;
-  settings_.retention = all.retention;
-  settings_.stop_time = all.stop_time;
-  pools_.set_order_gap(all.order_gap);
-  if (duties_) duties_->set_order_gap(all.order_gap);
-  start_logging(all.id, all.log_level);
-  log_line(log_level::info, k_part, "Settings reloaded.", {{"id", all.id}});
+void application::components::reload(settings const& new_settings) {
+  settings_.order_gap = new_settings.order_gap;
+  settings_.retention = new_settings.retention;
+  settings_.stop_time = new_settings.stop_time;
+  pools_.set_order_gap(new_settings.order_gap);
+  if (duties_) duties_->set_order_gap(new_settings.order_gap);
+  start_logging(new_settings.id, new_settings.log_level);
+  log_line(log_level::info, k_part, "Settings reloaded.", {{"id", new_settings.id}});
 }
 
 awaitable<void> application::components::stop(std::function<void()> on_stopped) {
@@ -378,17 +383,17 @@
   if (duties_) co_await duties_->release(begin + k_leave_notice);
   while (boot_clock::now() < begin + k_leave_notice ||
          (ingress_->in_flight() > 0 && boot_clock::now() < deadline)) {
-    co_await wait_for(k_stop_poll);
+    co_await wait_for(k_stop_poll_interval);
   }
   ingress_->close_listener();
-  // Connections that were just accepted may still bring a request.
-  time_point const last = std::min(boot_clock::now() + k_last_requests, deadline);
+  // Recently accepted connections may still send a request.
+  time_point const last = std::min(boot_clock::now() + k_final_accept_time, deadline);
   while (boot_clock::now() < last || (ingress_->in_flight() > 0 && boot_clock::now() < deadline)) {
-    co_await wait_for(k_stop_poll);
+    co_await wait_for(k_stop_poll_interval);
   }
   log_line(log_level::info, k_part, "Planned stop ends.", {{"cut", ingress_->in_flight()}});
   state_ = application_state::stopped;
-  operator_requests_.stop();
+  operator_request_reader_.stop();
   flush_logs();
   on_stopped();
 }
--- a/src/gateway/application.h
+++ b/src/gateway/application.h
@@ -1,4 +1,4 @@
-/// @file A gateway node: all its components, wired together; the only place that knows all of them.
+/// @file A gateway node: creates and connects all components. Only this class knows all of them.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,22 @@
 
 namespace frostline::gateway {
 
-/// starting -> serving (configuration and servers are known) -> stopping -> stopped; starting ->
-/// stopping.
+/// Transitions: starting -> serving (configuration and servers are known) -> stopping -> stopped;
+/// starting -> stopping.
 enum class application_state { starting, serving, stopping, stopped };
 
 class application {
  public:
-  /// References outlive the application.
-  application(asio::io_context& context, settings all, platform_adapter& adapter);
+  /// References must outlive the application.
+  application(asio::io_context& context, settings initial_settings, platform_adapter& adapter);
   ~application();
 
-  /// Binds and starts everything. @return an error text; empty if it runs.
+  /// Binds all listeners and starts the components. @return an error message; empty on success.
   std::string start();
-  /// A planned stop; `on_stopped` runs at its end.
+  /// Begins a planned stop; `on_stopped` runs at its end.
   void stop(std::function<void()> on_stopped);
-  /// Takes over settings that changed and can change while it runs.
-  void reload(settings const& all);
+  /// Applies changed settings that do not need a restart.
+  void reload(settings const& new_settings);
   application_state state() const;
 
  private:
--- a/src/gateway/client_calls.h
+++ b/src/gateway/client_calls.h
@@ -1,5 +1,5 @@
-/// @file What clients ask for: whether they may, and whether it is a job, a call about one, or an
-/// ordinary call.
+/// @file Checks access of client requests and dispatches them: submissions of jobs, calls about
+/// jobs, and ordinary calls.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,14 @@
 
 namespace frostline::gateway {
 
-/// References outlive the calls.
+/// References must outlive the client_calls object.
 struct client_calls_dependencies {
   platform_adapter& adapter;
   calls::active_configuration const& configuration;
   calls::forwarder& forwarder;
   jobs::job_client& jobs;
   metrics& request_metrics;
-  /// How old this node's records are, for the log.
+  /// Age of this node's records, for log lines.
   std::function<milliseconds()> records_age;
 };
 
@@ -32,18 +32,18 @@
   explicit client_calls(client_calls_dependencies dependencies)
       : dependencies_(std::move(dependencies)) {}
 
-  /// Answers one request.
-  awaitable<void> handle(http::request message, calls::caller& from);
+  awaitable<void> handle(http::request message, calls::caller& client);
 
  private:
-  awaitable<void> handle_job(job_request request, calls::caller& from);
-  awaitable<void> handle_submission(http::request message, calls::route const& by,
-                                    std::string const& tenant, calls::caller& from);
-  /// Names the caller's tenant in a call about a job. @return false if it was refused and answered.
+  awaitable<void> handle_job(job_request request, calls::caller& client);
+  awaitable<void> handle_submission(http::request message, calls::route const& matched_route,
+                                    std::string const& tenant, calls::caller& client);
+  /// Checks access to a call about a job, and sets the caller's tenant in it. @return false if the
+  /// call was refused and answered.
   awaitable<bool> admit_job_call(calls::route_table const* table, http::request const& message,
-                                 job_request& request, calls::caller& from);
-  awaitable<void> refuse_access(calls::credentials verdict, calls::route_table const& table,
-                                std::string_view request, calls::caller& from);
+                                 job_request& request, calls::caller& client);
+  awaitable<void> refuse_access(calls::credential_status key_check, calls::route_table const& table,
+                                std::string_view request, calls::caller& client);
 
   client_calls_dependencies dependencies_;
 };
--- a/src/gateway/duties.cc
+++ b/src/gateway/duties.cc
@@ -5,30 +5,31 @@
 namespace frostline::gateway {
 namespace {
 
-/// The duties' resource; one lease for all of them.
+/// Name of the leased resource; one lease covers all duties.
 constexpr std::string_view k_resource_name = "platform";
-/// Time that is left for a window's report to be stored, and sent some times, once it is closed.
+/// Time to store the report of a closed window and to send it, with repeats, before it is due.
 constexpr milliseconds k_report_margin{3000};
 
 std::string resource() {
   return std::string(ownership::k_duties_prefix) + std::string(k_resource_name);
 }
 
-ownership::owner_lease_options lease_options(settings const& own) {
+ownership::owner_lease_options lease_options(settings const& node_settings) {
   ownership::owner_lease_options options;
-  options.node = own.id;
-  options.address = own.peers;
-  options.claim_delay = ownership::claim_delay_of(own.processor_share);
-  options.time_to_live = std::max(options.time_to_live, own.store_limits.shortest_lease);
+  options.node = node_settings.id;
+  options.address = node_settings.peers;
+  options.claim_delay = ownership::claim_delay_of(node_settings.processor_share);
+  options.time_to_live = std::max(options.time_to_live, node_settings.store_limits.shortest_lease);
   return options;
 }
 
-usage::ledger_options ledger_options(settings const& own) {
+usage::ledger_options ledger_options(settings const& node_settings) {
   usage::ledger_options options;
-  options.window = own.usage_window;
-  // A deadline that leaves no margin gets half of it.
-  options.longest_wait =
-      own.usage_late > 2 * k_report_margin ? own.usage_late - k_report_margin : own.usage_late / 2;
+  options.window = node_settings.usage_window;
+  // If the deadline is too short for the margin, the wait gets half of it.
+  options.longest_wait = node_settings.usage_late > 2 * k_report_margin
+                             ? node_settings.usage_late - k_report_margin
+                             : node_settings.usage_late / 2;
   return options;
 }
 
@@ -58,10 +59,10 @@
 }
 
 void duties::take_owners(kv::range_answer const& records) {
-  for (kv::key_value const& one : records.entries) take_owner(one.key, &one);
+  for (kv::key_value const& record : records.entries) take_owner(record.key, &record);
   std::string const key = ownership::owner_lease::key_of(resource());
   bool const listed = std::any_of(records.entries.begin(), records.entries.end(),
-                                  [&](kv::key_value const& one) { return one.key == key; });
+                                  [&](kv::key_value const& record) { return record.key == key; });
   if (!listed) lease_.note_record(nullptr);
 }
 
--- a/src/gateway/duties.h
+++ b/src/gateway/duties.h
@@ -1,5 +1,5 @@
-/// @file What one node at a time does for the whole system towards its platform: which node that
-/// is, and its reports of usage.
+/// @file Duties towards the platform that one node at a time performs for the whole system: the
+/// lease that selects this node, and the reports of usage.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace frostline::gateway {
 
-/// References outlive the duties.
+/// References must outlive the duties object.
 struct duties_dependencies {
   asio::io_context& context;
   settings const& all_settings;
@@ -29,15 +29,15 @@
   explicit duties(duties_dependencies dependencies);
 
   void start();
-  /// The owners' records, whole.
+  /// Takes a complete snapshot of the owners' records.
   void take_owners(kv::range_answer const& records);
-  /// @param record null: the record is gone.
+  /// @param record null if the record was deleted.
   void take_owner(std::string const& key, kv::key_value const* record);
   void set_order_gap(milliseconds gap) { lease_.set_order_gap(gap); }
   bool is_holder() const { return lease_.state() == ownership::lease_state::owner; }
-  /// Registers what other nodes call.
+  /// Registers the RPC methods for other nodes.
   void add_methods(rpc::dispatcher& methods);
-  /// Tells and stores what is left by `deadline`, and hands the duties on.
+  /// Reports and stores the remaining usage by `deadline`, then releases the lease.
   awaitable<void> release(time_point deadline);
   usage::usage_reporter const& reporter() const { return reporter_; }
 
--- a/src/gateway/metrics.cc
+++ b/src/gateway/metrics.cc
@@ -12,8 +12,8 @@
   return all;
 }
 
-/// Counters that the parts keep themselves.
-class snapshot {
+/// Registers one gauge per value and writes them as text; the values are kept elsewhere.
+class gauge_page {
  public:
   void set(std::string const& name, std::string const& help, double value,
            prometheus::Labels const& labels = {}) {
@@ -25,7 +25,7 @@
   prometheus::Registry registry_;
 };
 
-void write_pool(snapshot& page, pool_readings const& pool) {
+void write_pool(gauge_page& page, pool_snapshot const& pool) {
   prometheus::Labels const labels{{"pool", pool.name}};
   auto const set = [&](std::string const& name, std::string const& help, double value) {
     page.set("frostline_pool_" + name, help, value, labels);
@@ -43,36 +43,37 @@
   set("writes_total", "transactions sent for jobs", static_cast<double>(pool.transactions));
 }
 
-void write_records(snapshot& page, node_readings const& now) {
+void write_records(gauge_page& page, node_snapshot const& snapshot) {
   for (auto const role :
        {relay::feed_role::standby, relay::feed_role::relay, relay::feed_role::direct}) {
     page.set("frostline_records_role", "1 for how this node learns of records",
-             now.role == role ? 1 : 0, {{"role", std::string(relay::to_text(role))}});
+             snapshot.role == role ? 1 : 0, {{"role", std::string(relay::to_text(role))}});
   }
   auto const set = [&](std::string const& name, std::string const& help, std::uint64_t value) {
     page.set("frostline_records_" + name, help, static_cast<double>(value));
   };
   set("age_ms", "time since the records were last known to be complete",
-      static_cast<std::uint64_t>(now.records_age.count()));
-  for (auto const& [topic, age] : now.watch_ages) {
+      static_cast<std::uint64_t>(snapshot.records_age.count()));
+  for (auto const& [topic, age] : snapshot.watch_ages) {
     page.set("frostline_records_watch_age_ms", "time since the store answered this node's watch",
              static_cast<double>(age.count()), {{"topic", topic}});
   }
-  set("polls_sent_total", "questions to other nodes", now.records.polls_sent);
-  set("polls_failed_total", "questions without an answer", now.records.polls_failed);
-  set("polls_not_sure_total", "answers of nodes that were not sure", now.records.polls_not_sure);
-  set("polls_answered_total", "questions of other nodes answered", now.polls_answered);
-  set("whole_answers_total", "answers with all wanted records of a topic", now.whole_answers);
-  set("whole_records_total", "records in those answers", now.whole_records);
-  for (auto const& [topic, count] : now.records_held) {
+  set("polls_sent_total", "questions to other nodes", snapshot.records.polls_sent);
+  set("polls_failed_total", "questions without an answer", snapshot.records.polls_failed);
+  set("polls_not_sure_total", "answers of nodes that were not sure",
+      snapshot.records.polls_not_sure);
+  set("polls_answered_total", "questions of other nodes answered", snapshot.polls_answered);
+  set("whole_answers_total", "answers with all wanted records of a topic", snapshot.whole_answers);
+  set("whole_records_total", "records in those answers", snapshot.whole_records);
+  for (auto const& [topic, count] : snapshot.records_held) {
     page.set("frostline_records_held", "records that this node holds", static_cast<double>(count),
              {{"topic", topic}});
   }
-  set("claims_total", "claims of the zone's record", now.records.claims);
-  set("turns_to_store_total", "times that no relay answered", now.records.turns_to_store);
+  set("claims_total", "claims of the zone's record", snapshot.records.claims);
+  set("turns_to_store_total", "times that no relay answered", snapshot.records.turns_to_store);
 }
 
-void write_usage(snapshot& page, usage_readings const& usage) {
+void write_usage(gauge_page& page, usage_snapshot const& usage) {
   auto const set = [&](std::string const& name, std::string const& help, std::uint64_t value) {
     page.set("frostline_usage_" + name, help, static_cast<double>(value));
   };
@@ -85,16 +86,18 @@
   set("late_requests_total", "requests told after their window was closed", usage.late);
 }
 
-void write_quarantine(snapshot& page, node_readings const& now) {
+void write_quarantine(gauge_page& page, node_snapshot const& snapshot) {
   auto const set = [&](std::string const& name, std::string const& help, std::uint64_t value) {
     page.set("frostline_quarantine_" + name, help, static_cast<double>(value));
   };
-  set("records", "requests that no server gets", now.quarantine_records);
-  set("crashes_total", "requests of this node under which a server ended", now.quarantine.crashes);
-  set("refused_total", "requests kept from servers", now.quarantine.refused);
-  set("trials_total", "trials that this node made", now.quarantine.trials);
-  set("written_total", "records that this node wrote", now.quarantine.written);
-  set("taken_back_total", "records taken back here after an answer", now.quarantine.taken_back);
+  set("records", "requests that no server gets", snapshot.quarantine_records);
+  set("crashes_total", "requests of this node under which a server ended",
+      snapshot.quarantine.crashes);
+  set("refused_total", "requests kept from servers", snapshot.quarantine.refused);
+  set("trials_total", "trials that this node made", snapshot.quarantine.trials);
+  set("written_total", "records that this node wrote", snapshot.quarantine.written);
+  set("taken_back_total", "records taken back here after an answer",
+      snapshot.quarantine.taken_back);
 }
 
 }  // namespace
@@ -115,41 +118,41 @@
   submissions_.Observe(static_cast<double>(duration.count()));
 }
 
-std::string metrics::write(node_readings const& now) {
-  snapshot page;
+std::string metrics::write(node_snapshot const& snapshot) {
+  gauge_page page;
   page.set("frostline_config_version", "configuration in force",
-           static_cast<double>(now.config_version));
-  page.set("frostline_servers", "servers known", static_cast<double>(now.servers));
+           static_cast<double>(snapshot.config_version));
+  page.set("frostline_servers", "servers known", static_cast<double>(snapshot.servers));
   page.set("frostline_server_records_malformed_total", "servers' records that can't be read",
-           static_cast<double>(now.malformed_servers));
-  page.set("frostline_calls_total", "requests", static_cast<double>(now.calls.requests));
+           static_cast<double>(snapshot.malformed_servers));
+  page.set("frostline_calls_total", "requests", static_cast<double>(snapshot.calls.requests));
   page.set("frostline_calls_answered_total", "requests with a server's answer",
-           static_cast<double>(now.calls.answered));
+           static_cast<double>(snapshot.calls.answered));
   page.set("frostline_calls_given_up_total", "requests without a server's answer",
-           static_cast<double>(now.calls.given_up));
+           static_cast<double>(snapshot.calls.unanswered));
   page.set("frostline_retries_total", "attempts after the first",
-           static_cast<double>(now.calls.retries));
+           static_cast<double>(snapshot.calls.retries));
   page.set("frostline_callers_left_total", "requests whose caller left",
-           static_cast<double>(now.calls.callers_left));
-  for (std::size_t kind = 0; kind < now.calls.failed_attempts.size(); ++kind) {
+           static_cast<double>(snapshot.calls.callers_left));
+  for (std::size_t kind = 0; kind < snapshot.calls.failed_attempts.size(); ++kind) {
     auto const failure = static_cast<calls::exchange_failure>(kind);
     if (failure == calls::exchange_failure::none) continue;
     page.set("frostline_attempts_failed_total", "attempts at servers without an answer",
-             static_cast<double>(now.calls.failed_attempts[kind]),
+             static_cast<double>(snapshot.calls.failed_attempts[kind]),
              {{"failure", std::string(calls::to_string(failure))}});
   }
   page.set("frostline_connections_opened_total", "connections opened to servers",
-           static_cast<double>(now.connections_opened));
+           static_cast<double>(snapshot.connections_opened));
   page.set("frostline_log_lines_dropped_total", "log lines dropped",
-           static_cast<double>(now.logs_dropped));
+           static_cast<double>(snapshot.logs_dropped));
   page.set("frostline_access_refused_total", "requests refused for their key",
            static_cast<double>(access_refused_));
   page.set("frostline_tenant_requests_total", "requests of tenants that servers began to run",
-           static_cast<double>(now.tenants_requests));
-  if (now.usage) write_usage(page, *now.usage);
-  write_quarantine(page, now);
-  write_records(page, now);
-  for (pool_readings const& pool : now.pools) write_pool(page, pool);
+           static_cast<double>(snapshot.tenants_requests));
+  if (snapshot.usage) write_usage(page, *snapshot.usage);
+  write_quarantine(page, snapshot);
+  write_records(page, snapshot);
+  for (pool_snapshot const& pool : snapshot.pools) write_pool(page, pool);
   return page.write() + prometheus::TextSerializer().Serialize(registry_.Collect());
 }
 
--- a/src/gateway/metrics.h
+++ b/src/gateway/metrics.h
@@ -1,4 +1,4 @@
-/// @file Figures of a gateway node, in Prometheus' text format.
+/// @file Metrics of a gateway node in the Prometheus text format.
 #pragma once
 
 #include <prometheus/histogram.h>
@@ -18,7 +18,7 @@
 
 namespace frostline::gateway {
 
-struct pool_readings {
+struct pool_snapshot {
   std::string name;
   bool owned = false;
   std::size_t jobs = 0;
@@ -29,16 +29,16 @@
   std::uint64_t transactions = 0;
 };
 
-struct usage_readings {
-  /// Whether this node makes the calls of one node at a time.
+struct usage_snapshot {
+  /// True if this node holds the lease of the duties.
   bool is_holder = false;
   usage::reporter_counters counters;
-  /// Requests that were counted too late for their window.
+  /// Requests that were counted after their window had closed.
   std::uint64_t late = 0;
 };
 
-/// What the parts count themselves, at one moment.
-struct node_readings {
+/// Counters of all components at one time.
+struct node_snapshot {
   std::uint64_t config_version = 0;
   std::size_t servers = 0;
   std::uint64_t malformed_servers = 0;
@@ -52,15 +52,15 @@
   std::uint64_t polls_answered = 0;
   std::uint64_t whole_answers = 0;
   std::uint64_t whole_records = 0;
-  /// Records that this node holds, by topic.
+  /// Number of records that this node holds, by topic.
   std::vector<std::pair<std::string, std::size_t>> records_held;
   milliseconds records_age{0};
-  /// Time since the store answered each watch of this node, by topic.
+  /// Time since the store last answered each watch of this node, by topic.
   std::vector<std::pair<std::string, milliseconds>> watch_ages;
-  std::vector<pool_readings> pools;
+  std::vector<pool_snapshot> pools;
   /// Requests of tenants that servers began to run.
   std::uint64_t tenants_requests = 0;
-  std::optional<usage_readings> usage;
+  std::optional<usage_snapshot> usage;
 };
 
 class metrics {
@@ -69,9 +69,9 @@
 
   void note_call(milliseconds duration);
   void note_submission(milliseconds duration);
-  /// A request was refused for its key, or for the lack of one.
+  /// Counts a request that was refused for a missing or invalid key.
   void note_access_refused() { ++access_refused_; }
-  std::string write(node_readings const& now);
+  std::string write(node_snapshot const& snapshot);
 
  private:
   prometheus::Registry registry_;
--- a/src/gateway/operator_requests.cc
+++ b/src/gateway/operator_request_reader.cc
@@ -1,4 +1,4 @@
-#include "gateway/operator_requests.h"
+#include "gateway/operator_request_reader.h"
 
 #include "base/log.h"
 
@@ -6,40 +6,40 @@
 namespace {
 
 constexpr std::string_view k_part = "gateway";
-constexpr milliseconds k_pause{20};
+constexpr milliseconds k_watch_pause{20};
 constexpr milliseconds k_report_timeout{1500};
-constexpr milliseconds k_report_pause{200};
+constexpr milliseconds k_report_retry_delay{200};
 
 }  // namespace
 
-void operator_requests::set_owner(bool owner) {
+void operator_request_reader::set_owner(bool owner) {
   if (owner && !follower_) start();
   if (owner || !follower_) return;
   follower_->stop();
   follower_.reset();
 }
 
-void operator_requests::start() {
+void operator_request_reader::start() {
   kv::follower_callbacks callbacks;
-  callbacks.snapshot = [this](kv::range_answer const& all) {
-    for (kv::key_value const& one : all.entries) take(one);
+  callbacks.snapshot = [this](kv::range_answer const& records) {
+    for (kv::key_value const& record : records.entries) handle_record(record);
   };
   callbacks.event = [this](kv::watch_event const& event) {
-    if (!event.deleted) take(event.entry);
+    if (!event.deleted) handle_record(event.entry);
   };
   follower_ = std::make_shared<kv::follower>(
       context_, adapter_.store(), adapter_.keys().operators_prefix, std::move(callbacks),
-      kv::follower_options{k_pause, kv::k_prompt_watch_wait});
+      kv::follower_options{k_watch_pause, kv::k_prompt_watch_wait});
   follower_->start();
 }
 
-void operator_requests::resynchronize() {
+void operator_request_reader::resynchronize() {
   if (!follower_) return;
   log_line(log_level::info, k_part, "Reading what operators ask for again.");
   follower_->resynchronize();
 }
 
-void operator_requests::take(kv::key_value const& record) {
+void operator_request_reader::handle_record(kv::key_value const& record) {
   if (record.key == adapter_.keys().configuration) {
     take_configuration_(record.value);
     return;
@@ -50,12 +50,13 @@
     pools_.name_version(request->model, request->version);
     return;
   }
-  bool const first = emptied_.insert(record.key + std::to_string(record.mod_revision)).second;
-  if (first) spawn(context_, report_empty(request->machine));
+  bool const is_new =
+      handled_empty_requests_.insert(record.key + std::to_string(record.mod_revision)).second;
+  if (is_new) spawn(context_, report_empty(request->machine));
 }
 
-awaitable<void> operator_requests::report_empty(std::string machine) {
-  // Nothing that must last lies on a machine: it is empty as soon as that is asked for.
+awaitable<void> operator_request_reader::report_empty(std::string machine) {
+  // Machines hold no durable data, so a machine can be reported as empty at once.
   while (!stopped_) {
     kv::transaction change;
     change.on_success.push_back(adapter_.report_empty(machine));
@@ -63,7 +64,7 @@
     log_line(log_level::info, k_part, "Machine reported as empty.",
              {{"machine", machine}, {"stored", outcome ? "yes" : outcome.error().message()}});
     if (outcome) co_return;
-    co_await wait_for(k_report_pause);
+    co_await wait_for(k_report_retry_delay);
   }
 }
 
--- a/src/gateway/pools.h
+++ b/src/gateway/pool_registry.h
@@ -1,5 +1,5 @@
-/// @file The pools of engines as one node sees them: a candidate for each one's lease, and its
-/// owner's services if the node holds it.
+/// @file The engine pools on this node: each with a candidate for its lease, and with the owner's
+/// services, which are active while the node holds the lease.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,8 @@
 
 namespace frostline::gateway {
 
-/// References outlive the pools.
-struct pools_dependencies {
+/// References must outlive the registry.
+struct pool_registry_dependencies {
   asio::io_context& context;
   settings const& all_settings;
   platform_adapter& adapter;
@@ -27,42 +27,42 @@
   quarantine::service& quarantine;
 };
 
-class pools {
+class pool_registry {
  public:
-  explicit pools(pools_dependencies dependencies) : dependencies_(dependencies) {}
+  explicit pool_registry(pool_registry_dependencies dependencies) : dependencies_(dependencies) {}
 
   jobs::pool_map& all() { return all_; }
   jobs::pool_map const& all() const { return all_; }
 
-  /// Takes part in each pool that the configuration names.
+  /// Creates the pools that the configuration names, and starts their leases.
   void ensure(calls::configuration const& wanted);
-  /// The owners' records, whole. Pools without one are free.
+  /// Takes a complete snapshot of the owners' records. Pools without a record have no owner.
   void take_owners(kv::range_answer const& records);
-  /// @param record null: the owner's record is gone.
+  /// @param record null if the owner's record was deleted.
   void take_owner(std::string const& key, kv::key_value const* record);
 
   bool owns_any() const;
-  /// Whether this node owns a pool, or goes on with the runs of one that it owned.
+  /// Returns true if this node owns a pool, or still handles runs of a pool that it owned.
   bool needs_engines() const;
-  /// Where another node that owns a pool can be reached.
+  /// Returns the address of another node that owns a pool, if known.
   std::optional<endpoint> other_owner() const;
 
   void notify();
-  /// @param ids of the servers that may have changed.
+  /// @param ids servers that may have changed.
   void note_servers(std::vector<std::string> const& ids);
   void set_order_gap(milliseconds gap);
   void name_version(std::string const& model, std::uint64_t version);
-  /// Stores what is finished by `deadline` and hands all pools on.
+  /// Stores finished results by `deadline` and releases all leases.
   awaitable<void> release(time_point deadline);
-  /// Registers what other nodes call.
+  /// Registers the RPC methods for other nodes.
   void add_methods(rpc::dispatcher& methods);
 
  private:
   jobs::pool& make(std::string const& name);
 
-  pools_dependencies dependencies_;
+  pool_registry_dependencies dependencies_;
   jobs::pool_map all_;
-  /// Records of the pools' last orderers, also of pools that this node does not know yet.
+  /// Records of the pools' last orderers, including pools that this node does not know yet.
   std::map<std::string, kv::key_value> orderers_;
   bool owners_known_ = false;
 };
--- a/src/gateway/settings.cc
+++ b/src/gateway/settings.cc
@@ -10,22 +10,22 @@
 namespace frostline::gateway {
 namespace {
 
-/// Takes one value in. @return why it is wrong, or an empty string.
+/// Parses one value into the settings. @return an error message; empty on success.
 using reader = std::function<std::string(toml::node const&, settings&)>;
 
 struct setting {
   setting_description description;
   reader read;
-  /// Which roles can't run without it.
+  /// Roles for which the setting is required.
   bool gateway_needs = false;
   bool spare_needs = false;
 };
 
 reader text(std::string settings::*member) {
   return [member](toml::node const& value, settings& into) -> std::string {
-    auto const found = value.value<std::string>();
-    if (!found || found->empty()) return "must be text";
-    into.*member = *found;
+    auto const parsed_value = value.value<std::string>();
+    if (!parsed_value || parsed_value->empty()) return "must be text";
+    into.*member = *parsed_value;
     return {};
   };
 }
@@ -39,16 +39,16 @@
   };
 }
 
-/// A number within [least, most], given to `take`.
-reader number(double least, double most, std::function<void(settings&, double)> take) {
+/// Reads a number within [minimum, maximum] and passes it to `apply`.
+reader number(double minimum, double maximum, std::function<void(settings&, double)> apply) {
   return [=](toml::node const& value, settings& into) -> std::string {
-    auto const found = value.value<double>();
-    if (!found || *found < least || *found > most) {
+    auto const parsed_value = value.value<double>();
+    if (!parsed_value || *parsed_value < minimum || *parsed_value > maximum) {
       std::ostringstream reason;
-      reason << "must be a number from " << least << " to " << most;
+      reason << "must be a number from " << minimum << " to " << maximum;
       return reason.str();
     }
-    take(into, *found);
+    apply(into, *parsed_value);
     return {};
   };
 }
@@ -64,7 +64,7 @@
   std::istringstream parts(*text);
   for (std::string part; std::getline(parts, part, ',');) {
     auto const parsed = parse_endpoint(part);
-    if (!parsed) return "must be \"IP:port\" with numeric IPv4 addresses, parted by commas";
+    if (!parsed) return "must be \"IP:port\" with numeric IPv4 addresses, separated by commas";
     into.seeds.push_back(*parsed);
   }
   return {};
@@ -163,15 +163,16 @@
 
 void read_known(std::string const& path, toml::table const& file, settings& into,
                 std::vector<settings_error>& errors) {
-  for (setting const& one : all_settings()) {
-    auto const value = file.at_path(one.description.key);
+  for (setting const& entry : all_settings()) {
+    auto const value = file.at_path(entry.description.key);
     if (!value) {
-      bool const needed = into.role == process_role::gateway ? one.gateway_needs : one.spare_needs;
-      if (needed) errors.push_back({path, std::string(one.description.key), "is missing"});
+      bool const needed =
+          into.role == process_role::gateway ? entry.gateway_needs : entry.spare_needs;
+      if (needed) errors.push_back({path, std::string(entry.description.key), "is missing"});
       continue;
     }
-    std::string const reason = one.read(*value.node(), into);
-    if (!reason.empty()) errors.push_back({path, std::string(one.description.key), reason});
+    std::string const reason = entry.read(*value.node(), into);
+    if (!reason.empty()) errors.push_back({path, std::string(entry.description.key), reason});
   }
 }
 
@@ -180,7 +181,7 @@
 std::vector<setting_description> const& describe_settings() {
   static std::vector<setting_description> const descriptions = [] {
     std::vector<setting_description> all;
-    for (setting const& one : all_settings()) all.push_back(one.description);
+    for (setting const& entry : all_settings()) all.push_back(entry.description);
     return all;
   }();
   return descriptions;
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -1,5 +1,5 @@
-/// @file Settings of a gateway: a TOML file, checked as a whole. Unknown keys are ignored, so that
-/// a platform may add to the file.
+/// @file Settings of a gateway, read from a TOML file that is validated as a whole. Unknown keys
+/// are ignored, so that a platform may add its own.
 #pragma once
 
 #include <optional>
@@ -13,38 +13,39 @@
 
 namespace frostline::gateway {
 
-/// What a process does. `gateway` serves clients; `spare` holds a machine's place and does nothing.
+/// Role of a process. `gateway` serves clients; `spare` reserves a place on a machine and is
+/// otherwise idle.
 enum class process_role { gateway, spare };
 
 struct settings {
   process_role role = process_role::gateway;
   std::string id;
   std::string zone;
-  /// Share of a core that the process may use.
+  /// Share of a processor core that the process may use.
   double processor_share = 0.25;
-  /// Where clients connect.
+  /// Address for clients.
   endpoint clients;
-  /// Where the platform asks whether this node takes clients.
+  /// Address for the platform's readiness probe.
   endpoint readiness;
-  /// Where other nodes connect.
+  /// Address for other nodes, and for metrics.
   endpoint peers;
-  /// Some nodes' addresses for other nodes; any of them may be down.
+  /// Peer addresses of some nodes; any of them may be down.
   std::vector<endpoint> seeds;
   endpoint record_store;
   kv::store_limits store_limits;
-  /// Orders of two owners never come closer than this.
+  /// Minimum time between orders of two successive owners.
   milliseconds order_gap{3000};
-  /// A server that has left gets nothing more after this time.
+  /// Time after a server's departure by which it must receive nothing more.
   milliseconds leave_time{2000};
-  /// Longest planned stop.
+  /// Upper bound for a planned stop.
   milliseconds stop_time{8000};
-  /// For how long ended jobs can be read.
+  /// How long ended jobs can be read.
   milliseconds retention{120'000};
-  /// Where the platform takes what one node at a time tells it; none: there are no duties.
+  /// Address of the platform's duty service; without it there are no duties.
   std::optional<endpoint> duty_service;
-  /// Usage is reported for windows of this length; 0: it is not reported.
+  /// Length of the windows for which usage is reported; 0: usage is not reported.
   milliseconds usage_window{0};
-  /// A window's usage is due that long after its end.
+  /// Time after the end of a window by which its usage must be reported.
   milliseconds usage_late{10'000};
   std::size_t connections = 2000;
   std::string log_level = "info";
@@ -66,7 +67,8 @@
 
 std::vector<setting_description> const& describe_settings();
 
-/// Reads and checks a settings file. @param into holds what could be read. @return all faults.
+/// Reads and validates a settings file. @param into receives all values that could be read. @return
+/// all errors.
 std::vector<settings_error> read_settings(std::string const& path, settings& into);
 
 }  // namespace frostline::gateway
--- a/tests/unit/calls/route_table_test.cc
+++ b/tests/unit/calls/route_table_test.cc
@@ -1,4 +1,4 @@
-/// @file Routes, shares, events and the choice of a server.
+/// @file Tests for routes, traffic shares, event streams and server selection.
 
 #include "calls/route_table.h"
 
@@ -13,28 +13,28 @@
 namespace {
 
 route make_route(std::string const& name, std::string const& host, std::string const& prefix) {
-  route one;
-  one.name = name;
-  one.host = host;
-  one.path_prefix = prefix;
-  one.shares = {{"service", 1}};
-  return one;
+  route result;
+  result.name = name;
+  result.host = host;
+  result.path_prefix = prefix;
+  result.shares = {{"service", 1}};
+  return result;
 }
 
 directory::server make_server(std::string const& id, std::string const& zone) {
-  directory::server one;
-  one.id = id;
-  one.service = "service";
-  one.zone = zone;
-  one.slots = 4;
-  return one;
+  directory::server result;
+  result.id = id;
+  result.service = "service";
+  result.zone = zone;
+  result.slots = 4;
+  return result;
 }
 
 }  // namespace
 
 TEST_GROUP(route_table_test) { time_point now{std::chrono::hours(1)}; };
 
-TEST(route_table_test, longest_prefix_of_the_host_wins) {
+TEST(route_table_test, longest_matching_prefix_of_the_host_wins) {
   configuration all;
   all.version = 1;
   all.routes = {make_route("short", "a", "/x/"), make_route("long", "a", "/x/y/"),
@@ -46,7 +46,7 @@
   POINTERS_EQUAL(nullptr, table.match("c", "/x/y/"));
 }
 
-TEST(route_table_test, older_configuration_is_never_taken) {
+TEST(route_table_test, older_configuration_is_rejected) {
   active_configuration active;
   configuration all;
   all.version = 7;
@@ -58,19 +58,19 @@
   LONGS_EQUAL(7, active.table()->all().version);
 }
 
-TEST(route_table_test, shares_hold_at_every_moment) {
-  route one = make_route("split", "a", "/");
-  one.shares = {{"large", 90}, {"small", 10}};
+TEST(route_table_test, shares_hold_over_short_intervals) {
+  route split_route = make_route("split", "a", "/");
+  split_route.shares = {{"large", 90}, {"small", 10}};
   share_picker picker;
   int small = 0;
   for (int number = 1; number <= 200; ++number) {
-    if (picker.pick(one) == "small") ++small;
+    if (picker.pick(split_route) == "small") ++small;
     CHECK(std::abs(small - number / 10) <= 1);
   }
   LONGS_EQUAL(20, small);
 }
 
-TEST(route_table_test, events_are_found_however_the_bytes_are_cut) {
+TEST(route_table_test, events_are_parsed_across_piece_boundaries) {
   std::string const stream =
       "id: 0\ndata: a\n\nx-weight-versions: 7\nid: 1\ndata: b\ndata: c\n\nid: 2\r\ndata: d\r\n\r\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(route_table_test, half_an_event_is_told) {
+TEST(route_table_test, partial_event_is_buffered) {
   event_splitter splitter("v");
   LONGS_EQUAL(0, splitter.feed("id: 0\ndata: a").size());
   CHECK_FALSE(splitter.is_between_events());
@@ -115,7 +115,7 @@
   STRCMP_EQUAL("first", selector.pick({&first, &second}, {}, now + seconds(5))->id.c_str());
 }
 
-TEST(route_table_test, outstanding_requests_are_counted_back_however_they_end) {
+TEST(route_table_test, every_outcome_releases_an_outstanding_request) {
   server_selector selector("a", 1);
   for (int number = 0; number < 4; ++number) selector.note_sent("s");
   selector.note_answer("s");
--- a/tests/unit/calls/server_selector_test.cc
+++ b/tests/unit/calls/server_selector_test.cc
@@ -1,4 +1,4 @@
-/// @file Which server an attempt goes to.
+/// @file Tests for the selection of a server for an attempt.
 
 #include "calls/server_selector.h"
 
@@ -17,13 +17,13 @@
 
   void setup() override {
     for (int index = 0; index < 6; ++index) {
-      directory::server one;
-      one.id = "server-" + std::to_string(index);
-      one.zone = index < 3 ? "a" : "b";
-      one.slots = 4;
-      servers.push_back(one);
+      directory::server server;
+      server.id = "server-" + std::to_string(index);
+      server.zone = index < 3 ? "a" : "b";
+      server.slots = 4;
+      servers.push_back(server);
     }
-    for (auto const& one : servers) candidates.push_back(&one);
+    for (auto const& server : servers) candidates.push_back(&server);
   }
 
   std::string pick(std::set<std::string> const& tried = {}) {
@@ -31,16 +31,16 @@
     return found == nullptr ? "" : found->id;
   }
 
-  /// How many servers ten calls, one after the other, go to.
-  std::size_t spread_of_calls(bool swift) {
+  /// Returns the number of servers used by ten sequential calls.
+  std::size_t spread_of_calls(bool fast) {
     std::set<std::string> used;
     for (int call = 0; call < 10; ++call) {
       std::string const id = pick();
       used.insert(id);
       selector.note_sent(id);
       now += milliseconds(500);
-      if (swift) {
-        selector.note_swift_answer(id, now);
+      if (fast) {
+        selector.note_fast_answer(id, now);
       } else {
         selector.note_answer(id);
       }
@@ -49,47 +49,45 @@
   }
 };
 
-TEST(server_selector_test, calls_one_after_the_other_go_where_a_connection_is_open) {
+TEST(server_selector_test, sequential_calls_reuse_the_server_with_a_warm_connection) {
   LONGS_EQUAL(1, spread_of_calls(true));
 }
 
-TEST(server_selector_test, server_that_takes_long_is_not_kept_to) {
-  CHECK(spread_of_calls(false) > 1);
-}
+TEST(server_selector_test, slow_server_is_not_preferred) { CHECK(spread_of_calls(false) > 1); }
 
-TEST(server_selector_test, calls_at_the_same_time_spread_over_servers) {
+TEST(server_selector_test, concurrent_calls_are_spread_over_servers) {
   selector.note_sent("server-0");
-  selector.note_swift_answer("server-0", now);
+  selector.note_fast_answer("server-0", now);
   STRCMP_EQUAL("server-0", pick().c_str());
   selector.note_sent("server-0");
   CHECK(pick() != "server-0");
 }
 
-TEST(server_selector_test, own_zone_goes_before_an_open_connection_elsewhere) {
+TEST(server_selector_test, own_zone_is_preferred_over_a_warm_connection_elsewhere) {
   selector.note_sent("server-4");
-  selector.note_swift_answer("server-4", now);
+  selector.note_fast_answer("server-4", now);
   CHECK(pick() < "server-3");
 }
 
-TEST(server_selector_test, server_that_failed_is_left_out_and_not_kept_to_afterwards) {
+TEST(server_selector_test, failed_server_is_avoided_while_others_are_available) {
   selector.note_sent("server-1");
-  selector.note_swift_answer("server-1", now);
+  selector.note_fast_answer("server-1", now);
   selector.note_sent("server-1");
   selector.note_failure("server-1", now);
   CHECK(pick() != "server-1");
   CHECK(pick({"server-0", "server-2", "server-3", "server-4", "server-5"}) == "server-1");
 }
 
-TEST(server_selector_test, connection_that_rested_for_long_gives_no_preference) {
+TEST(server_selector_test, long_idle_connection_gives_no_preference) {
   selector.note_sent("server-2");
-  selector.note_swift_answer("server-2", now);
+  selector.note_fast_answer("server-2", now);
   now += seconds(30);
   std::set<std::string> picked;
   for (int call = 0; call < 40; ++call) picked.insert(pick());
   LONGS_EQUAL(3, picked.size());
 }
 
-TEST(server_selector_test, requests_that_broke_elsewhere_are_kept_apart_while_they_last) {
+TEST(server_selector_test, suspect_requests_are_isolated_until_they_end) {
   std::vector<std::shared_ptr<void>> held;
   std::set<std::string> used;
   for (std::size_t request = 0; request < candidates.size(); ++request) {
@@ -115,25 +113,25 @@
     servers.clear();
     candidates.clear();
     for (std::size_t index = 0; index < count; ++index) {
-      directory::server one;
-      one.id = "server-" + std::to_string(100'000 + index);
-      one.slots = 2;
-      servers.push_back(one);
+      directory::server server;
+      server.id = "server-" + std::to_string(100'000 + index);
+      server.slots = 2;
+      servers.push_back(server);
     }
-    for (auto const& one : servers) candidates.push_back(&one);
+    for (auto const& server : servers) candidates.push_back(&server);
   }
 };
 
-TEST(server_selector_size_test, choice_costs_the_same_before_ten_times_as_many_servers) {
+TEST(server_selector_size_test, number_of_comparisons_is_independent_of_the_number_of_servers) {
   for (std::size_t const count : {700, 7777}) {
     make(count);
     server_selector selector{"a", hash_bytes("node-1")};
     CHECK(selector.pick(candidates, {}, now) != nullptr);
-    LONGS_EQUAL(server_selector::k_compared, selector.compared());
+    LONGS_EQUAL(server_selector::k_candidates_per_round, selector.compared_count());
   }
 }
 
-TEST(server_selector_size_test, call_finds_the_only_free_server_of_many) {
+TEST(server_selector_size_test, only_server_with_a_free_slot_is_found) {
   make(1000);
   server_selector selector{"a", hash_bytes("node-1")};
   for (std::size_t index = 0; index < servers.size(); ++index) {
--- a/tests/unit/calls/tenants_test.cc
+++ b/tests/unit/calls/tenants_test.cc
@@ -1,4 +1,4 @@
-/// @file Keys, tenants, and what of them servers see.
+/// @file Tests for API keys, tenants, and the headers that servers receive.
 
 #include "calls/tenants.h"
 
@@ -37,7 +37,7 @@
 
 TEST_GROUP(tenants_test){};
 
-TEST(tenants_test, each_key_of_a_tenant_names_it) {
+TEST(tenants_test, each_key_identifies_its_tenant) {
   auto const tenants = two_tenants();
   tenant_index const index(tenants);
   STRCMP_EQUAL("first", index.find_by_key("key-a")->name.c_str());
@@ -47,7 +47,7 @@
   POINTERS_EQUAL(nullptr, index.find_by_key(""));
 }
 
-TEST(tenants_test, only_the_bearer_scheme_is_read) {
+TEST(tenants_test, only_the_bearer_scheme_is_accepted) {
   STRCMP_EQUAL("k", std::string(bearer_key("Bearer k")).c_str());
   STRCMP_EQUAL("k", std::string(bearer_key("bEARER   k \t")).c_str());
   for (char const* other : {"", "k", "Bearer", "Bearer ", "Basic k", "Bearerk", " Bearer k"}) {
@@ -55,51 +55,51 @@
   }
 }
 
-TEST(tenants_test, key_is_needed_where_there_are_tenants_and_the_route_is_not_public) {
-  auto const none = table_of({});
-  CHECK(check_access(*none, request_with(""), false).is_granted);
-  auto const some = table_of(two_tenants());
-  CHECK_FALSE(check_access(*some, request_with(""), false).is_granted);
-  CHECK_FALSE(check_access(*some, request_with("Bearer key-x"), false).is_granted);
-  calls::access const known = check_access(*some, request_with("Bearer key-c"), false);
+TEST(tenants_test, private_route_requires_a_key_if_tenants_are_configured) {
+  auto const without_tenants = table_of({});
+  CHECK(check_access(*without_tenants, request_with(""), false).is_granted);
+  auto const with_tenants = table_of(two_tenants());
+  CHECK_FALSE(check_access(*with_tenants, request_with(""), false).is_granted);
+  CHECK_FALSE(check_access(*with_tenants, request_with("Bearer key-x"), false).is_granted);
+  calls::access const known = check_access(*with_tenants, request_with("Bearer key-c"), false);
   CHECK(known.is_granted);
-  STRCMP_EQUAL("second", known.who->name.c_str());
-  calls::access const open = check_access(*some, request_with("Bearer key-x"), true);
+  STRCMP_EQUAL("second", known.matched_tenant->name.c_str());
+  calls::access const open = check_access(*with_tenants, request_with("Bearer key-x"), true);
   CHECK(open.is_granted);
-  POINTERS_EQUAL(nullptr, open.who);
+  POINTERS_EQUAL(nullptr, open.matched_tenant);
 }
 
-TEST(tenants_test, two_keys_at_once_prove_nothing) {
-  auto const some = table_of(two_tenants());
+TEST(tenants_test, request_with_two_keys_is_rejected) {
+  auto const with_tenants = table_of(two_tenants());
   http::request message = request_with("Bearer key-a");
   message.insert(http::field::authorization, "Bearer key-c");
-  CHECK_FALSE(check_access(*some, message, false).is_granted);
-  POINTERS_EQUAL(nullptr, check_access(*some, message, true).who);
+  CHECK_FALSE(check_access(*with_tenants, message, false).is_granted);
+  POINTERS_EQUAL(nullptr, check_access(*with_tenants, message, true).matched_tenant);
 }
 
-TEST(tenants_test, servers_see_the_proven_tenant_and_no_key) {
-  auto const some = table_of(two_tenants());
+TEST(tenants_test, servers_receive_the_verified_tenant_and_no_key) {
+  auto const with_tenants = table_of(two_tenants());
   header_names names;
   names.tenant = "X-Tenant";
   http::request message = request_with("Bearer key-a");
   message.insert("x-tenant", "forged");
   message.insert("X-TENANT", "forged again");
-  set_tenant(message, names, some->tenants(), "first");
+  set_tenant(message, names, with_tenants->tenants(), "first");
   LONGS_EQUAL(1, message.count("X-Tenant"));
   STRCMP_EQUAL("first", std::string(http::header(message, "X-Tenant")).c_str());
   LONGS_EQUAL(0, message.count(http::field::authorization));
   message.insert("x-tenant", "forged");
-  set_tenant(message, names, some->tenants(), "");
+  set_tenant(message, names, with_tenants->tenants(), "");
   LONGS_EQUAL(0, message.count("X-Tenant"));
 }
 
-TEST(tenants_test, credentials_pass_where_keys_mean_nothing_here) {
+TEST(tenants_test, credentials_are_forwarded_if_no_tenants_are_configured) {
   http::request message = request_with("Bearer anything");
   set_tenant(message, header_names(), table_of({})->tenants(), "");
   LONGS_EQUAL(1, message.count(http::field::authorization));
 }
 
-TEST(tenants_test, faults_name_places_and_never_keys) {
+TEST(tenants_test, validation_errors_name_entries_and_no_keys) {
   CHECK(validate_tenants(two_tenants()).empty());
   std::vector<tenant> twice = two_tenants();
   twice[1].api_keys.push_back("key-a");
@@ -109,7 +109,7 @@
   CHECK_FALSE(validate_tenants(within).empty());
 }
 
-TEST(tenants_test, no_random_header_proves_a_tenant) {
+TEST(tenants_test, random_headers_never_identify_a_tenant) {
   auto const tenants = two_tenants();
   tenant_index const index(tenants);
   std::mt19937 random(k_seed);
@@ -117,9 +117,9 @@
   for (int number = 0; number < k_random_values; ++number) {
     std::string value;
     for (auto left = random() % 24; left > 0; --left) value += letters[random() % letters.size()];
-    tenant const* who = nullptr;
-    bool const valid = index.check(value, who) == credentials::valid;
-    CHECK_EQUAL(valid, who != nullptr);
-    if (valid) CHECK(index.find_by_key(bearer_key(value)) == who);
+    tenant const* matched_tenant = nullptr;
+    bool const valid = index.check(value, matched_tenant) == credential_status::valid;
+    CHECK_EQUAL(valid, matched_tenant != nullptr);
+    if (valid) CHECK(index.find_by_key(bearer_key(value)) == matched_tenant);
   }
 }
--- a/tests/unit/gateway/gateway_settings_test.cc
+++ b/tests/unit/gateway/gateway_settings_test.cc
@@ -1,4 +1,4 @@
-/// @file A gateway's settings are checked as a whole.
+/// @file Tests for reading and validating a gateway's settings.
 
 #include <CppUTest/TestHarness.h>
 
@@ -34,13 +34,14 @@
   LONGS_EQUAL(4500, all.stop_time.count());
 }
 
-TEST(gateway_settings_test, all_faults_are_told_at_once) {
+TEST(gateway_settings_test, all_errors_are_reported_at_once) {
   auto const errors =
       read("[node]\nid = 7\n[listen]\nclients = \"nowhere\"\n[orders]\ngap_ms = -1\n");
   LONGS_EQUAL(7, errors.size());
-  bool address_told = false;
-  for (auto const& error : errors) address_told = address_told || error.key == "listen.clients";
-  CHECK(address_told);
+  bool has_address_error = false;
+  for (auto const& error : errors)
+    has_address_error = has_address_error || error.key == "listen.clients";
+  CHECK(has_address_error);
 }
 
 TEST(gateway_settings_test, spare_needs_no_addresses) {
@@ -48,7 +49,7 @@
   CHECK(all.role == process_role::spare);
 }
 
-TEST(gateway_settings_test, malformed_file_is_told_with_its_line) {
+TEST(gateway_settings_test, syntax_error_is_reported_with_its_line) {
   auto const errors = read("[node]\nid = \n");
   LONGS_EQUAL(1, errors.size());
   STRCMP_CONTAINS("line 2", errors[0].key.c_str());
