--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -291,13 +291,13 @@
 }
 
 awaitable<void> application::components::housekeeping_loop() {
-  time_point last = boot_clock::now();
+  time_point last_iteration_at = boot_clock::now();
   while (state_ != application_state::stopped) {
     co_await wait_for(k_housekeeping_interval);
     time_point const now = boot_clock::now();
-    auto const pause = std::chrono::duration_cast<milliseconds>(now - last);
-    last = now;
-    if (pause > k_suspension_threshold) resynchronize("this process was suspended");
+    auto const iteration_time = std::chrono::duration_cast<milliseconds>(now - last_iteration_at);
+    last_iteration_at = now;
+    if (iteration_time > k_suspension_threshold) resynchronize("this process was suspended");
     connections_.expire_overdue(now);
     connections_.clean(servers_);
     selector_.clean(servers_);
@@ -387,8 +387,9 @@
   }
   ingress_->close_listener();
   // Recently accepted connections may still send a request.
-  time_point const last = std::min(boot_clock::now() + k_final_accept_time, deadline);
-  while (boot_clock::now() < last || (ingress_->in_flight() > 0 && boot_clock::now() < deadline)) {
+  time_point const accept_until = std::min(boot_clock::now() + k_final_accept_time, deadline);
+  while (boot_clock::now() < accept_until ||
+         (ingress_->in_flight() > 0 && boot_clock::now() < deadline)) {
     co_await wait_for(k_stop_poll_interval);
   }
   log_line(log_level::info, k_part, "Planned stop ends.", {{"cut", ingress_->in_flight()}});
