--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -48,12 +48,12 @@
 
 bool forwarder::is_suspect(journey& one) const {
   if (one.broken_attempts > 0 || one.is_trial) return true;
-  return dependencies_.quarantine.is_watching() &&
+  return dependencies_.quarantine.has_suspects() &&
          dependencies_.quarantine.crashes_seen(identify(one)) > 0;
 }
 
 awaitable<void> forwarder::record_suspicion(journey& one) {
-  bool const watching = dependencies_.quarantine.is_watching() || one.broken_attempts > 1;
+  bool const watching = dependencies_.quarantine.has_suspects() || one.broken_attempts > 1;
   if (!watching || one.is_trial) co_return;
   // What this try has just met is perhaps still looked at.
   bool const met_two = one.broken_attempts > 1;
@@ -62,7 +62,7 @@
 }
 
 awaitable<bool> forwarder::is_held_back(journey& one) {
-  if (one.is_trial || !dependencies_.quarantine.is_watching()) co_return false;
+  if (one.is_trial || !dependencies_.quarantine.has_suspects()) co_return false;
   quarantine::fingerprint const& request = identify(one);
   time_point const now = boot_clock::now();
   quarantine::verdict const verdict = dependencies_.quarantine.check(request, now);
@@ -75,7 +75,7 @@
   if (fit) one.is_trial = co_await dependencies_.quarantine.claim_trial(request);
   if (one.is_trial) co_return false;
   one.is_quarantined = true;
-  one.next_try = dependencies_.quarantine.time_to_next_try(request, boot_clock::now());
+  one.next_try = dependencies_.quarantine.time_until_retry(request, boot_clock::now());
   dependencies_.quarantine.note_refused(request);
   co_return true;
 }
@@ -135,7 +135,7 @@
   } else {
     dependencies_.selector.note_failure(with.server().id, boot_clock::now());
   }
-  if (failure == exchange_failure::timed_out) note_given_up(one, with);
+  if (failure == exchange_failure::timed_out) note_abandoned_run(one, with);
   one.has_met_silence = one.has_met_silence || with.has_met_silence();
   bool const ended =
       failure == exchange_failure::broken || failure == exchange_failure::stale_connection;
@@ -159,18 +159,18 @@
 
 void forwarder::note_abandoned(journey& one, exchange const& with) {
   dependencies_.selector.note_abandoned(with.server().id);
-  note_given_up(one, with);
+  note_abandoned_run(one, with);
 }
 
-void forwarder::note_given_up(journey& one, exchange const& with) {
+void forwarder::note_abandoned_run(journey& one, exchange const& with) {
   if (!with.may_have_reached_server()) return;
-  dependencies_.quarantine.note_given_up(with.server(), identify(one), one.attempt_begun);
+  dependencies_.quarantine.note_abandoned_run(with.server(), identify(one), one.attempt_begun);
 }
 
 void forwarder::clear_suspicion(journey& one, exchange const& with) {
   // A server's own 5xx may come without a run, as at the end of its deadline in a queue.
   bool const ran = with.head().result_int() < 500;
-  if (ran && dependencies_.quarantine.is_watching())
+  if (ran && dependencies_.quarantine.has_suspects())
     dependencies_.quarantine.note_answer(identify(one));
 }
 
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -126,7 +126,7 @@
   /// The caller has left.
   void note_abandoned(journey& one, exchange const& with);
   /// The server may still be at work on what was given up, and end.
-  void note_given_up(journey& one, exchange const& with);
+  void note_abandoned_run(journey& one, exchange const& with);
   quarantine::fingerprint const& identify(journey& one) const;
   /// What the tenant's usage owes to an attempt.
   void count_run(journey& one, usage::run_counter::attempt_id attempt, bool may_have_begun,
--- a/src/delivery/committer.cc
+++ b/src/delivery/committer.cc
@@ -31,9 +31,9 @@
 commit_answer explain_failure(commit_conditions const& conditions,
                               kv::transaction_answer const& answer) {
   commit_answer failure;
-  failure.result = commit_result::record_moved;
+  failure.result = commit_result::record_changed;
   if (revision_in(answer, conditions.version_key) != conditions.version_revision) {
-    failure.result = commit_result::version_moved;
+    failure.result = commit_result::version_changed;
     for (kv::key_value const& entry : answer.read) {
       if (entry.key == conditions.version_key) failure.version_entry = entry;
     }
@@ -72,7 +72,7 @@
     auto stored = co_await read(conditions.record_key);
     if (stored) {
       bool const ours = stored.value().record.identity == identity;
-      found.result = ours ? commit_result::committed : commit_result::record_moved;
+      found.result = ours ? commit_result::committed : commit_result::record_changed;
       found.revision = stored.value().revision;
       co_return found;
     }
--- a/src/delivery/committer.h
+++ b/src/delivery/committer.h
@@ -17,9 +17,9 @@
   /// Another owner holds the shard: this one must stop.
   fenced,
   /// Another version was published since the batch was planned.
-  version_moved,
+  version_changed,
   /// The record is not the one the plan was made from; read it again.
-  record_moved,
+  record_changed,
   /// It can't be known now whether the record is in force.
   in_doubt,
   /// Nothing was changed; the service is not there.
@@ -40,7 +40,7 @@
   commit_result result = commit_result::unavailable;
   /// Revision of the commit.
   kv::revision revision = 0;
-  /// With version_moved: what the version key holds now.
+  /// With version_changed: what the version key holds now.
   std::optional<kv::key_value> version_entry;
 };
 
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -84,7 +84,7 @@
       context_, adapter_.store(), transport_, settings_.id, settings_.peers,
       [this] { return feed_.relay_addresses(k_collectors); },
       [this] { return feed_.age(boot_clock::now()) < k_current_age; },
-      quarantine::server_knowledge{
+      quarantine::crash_watch_dependencies{
           [this](directory::server const& one, time_point made_before) {
             return connections_.has_open(one.id, made_before);
           },
@@ -204,7 +204,8 @@
   options.prefixes[relay::index_of(relay::topic::OWNERS)] = ownership::owner_lease::owners_prefix();
   options.prefixes[relay::index_of(relay::topic::RELAYS)] = relay::zone_relays::records_prefix();
   options.prefixes[relay::index_of(relay::topic::SERVERS)] = adapter_.keys().servers_prefix;
-  options.prefixes[relay::index_of(relay::topic::QUARANTINE)] = quarantine::records_of_quarantine();
+  options.prefixes[relay::index_of(relay::topic::QUARANTINE)] =
+      quarantine::quarantine_records_prefix();
   options.servers_traits = server_watch_.traits();
   options.wanted_servers = [this]() -> std::optional<std::set<std::string>> {
     if (!configuration_.table()) return std::nullopt;
--- a/src/gateway/duties.cc
+++ b/src/gateway/duties.cc
@@ -27,7 +27,7 @@
   usage::ledger_options options;
   options.window = own.usage_window;
   // A deadline that leaves no margin gets half of it.
-  options.longest_wait =
+  options.max_wait =
       own.usage_late > 2 * k_report_margin ? own.usage_late - k_report_margin : own.usage_late / 2;
   return options;
 }
--- a/src/gateway/metrics.cc
+++ b/src/gateway/metrics.cc
@@ -80,7 +80,7 @@
   set("windows_closed_total", "windows whose counts were fixed", usage.counters.windows_closed);
   set("windows_reported_total", "windows whose report was taken", usage.counters.windows_reported);
   set("reports_failed_total", "reports that were not taken", usage.counters.reports_failed);
-  set("windows_given_up_total", "windows that were never taken", usage.counters.windows_given_up);
+  set("windows_given_up_total", "windows that were never taken", usage.counters.windows_abandoned);
   set("tells_failed_total", "counts that did not reach the holder", usage.counters.calls_failed);
   set("late_requests_total", "requests told after their window was closed", usage.late);
 }
@@ -93,8 +93,8 @@
   set("crashes_total", "requests of this node under which a server ended", now.quarantine.crashes);
   set("refused_total", "requests kept from servers", now.quarantine.refused);
   set("trials_total", "trials that this node made", now.quarantine.trials);
-  set("written_total", "records that this node wrote", now.quarantine.written);
-  set("taken_back_total", "records taken back here after an answer", now.quarantine.taken_back);
+  set("written_total", "records that this node wrote", now.quarantine.records_written);
+  set("taken_back_total", "records taken back here after an answer", now.quarantine.revoked);
 }
 
 }  // namespace
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -26,7 +26,7 @@
 /// Engines that have ended under a sample when its runs are isolated from those of others like it:
 /// the next one that ends would condemn all that run there. One would be too few: after the crash
 /// of a full engine all its samples would wait for engines of their own.
-constexpr std::size_t k_isolated_crashes = quarantine::k_most_crashes - 1;
+constexpr std::size_t k_isolated_crashes = quarantine::k_crash_threshold - 1;
 /// How often a sample that is held back is looked at again.
 constexpr milliseconds k_held_back_pause{500};
 /// Runs started in one turn of the loop: other work, such as the lease, must not wait for all.
@@ -68,14 +68,14 @@
 }
 
 bool sample_runner::must_be_isolated(job& owner, std::uint32_t index, time_point now) const {
-  if (!dependencies_.quarantine.is_watching()) return false;
+  if (!dependencies_.quarantine.has_suspects()) return false;
   quarantine::fingerprint const& request = identify(owner, index);
   return dependencies_.quarantine.crashes_seen(request) >= k_isolated_crashes ||
          dependencies_.quarantine.check(request, now) != quarantine::verdict::allowed;
 }
 
 bool sample_runner::may_start(job& owner, std::uint32_t index, time_point now) {
-  if (!dependencies_.quarantine.is_watching()) return true;
+  if (!dependencies_.quarantine.has_suspects()) return true;
   sample& one = owner.samples[index];
   quarantine::fingerprint const& request = identify(owner, index);
   if (trials_.erase(request) > 0) return true;
@@ -201,7 +201,7 @@
   if (broken) {
     dependencies_.quarantine.note_broken(engine, *request, open.sent_at);
   } else {
-    dependencies_.quarantine.note_given_up(engine, *request, open.sent_at);
+    dependencies_.quarantine.note_abandoned_run(engine, *request, open.sent_at);
   }
 }
 
@@ -231,7 +231,7 @@
 }
 
 milliseconds sample_runner::pause_after_break(job& owner, std::uint32_t index) const {
-  if (!dependencies_.quarantine.is_watching()) return k_broken_pause;
+  if (!dependencies_.quarantine.has_suspects()) return k_broken_pause;
   bool const suspect = dependencies_.quarantine.crashes_seen(identify(owner, index)) > 0;
   return suspect ? k_suspect_pause : k_broken_pause;
 }
@@ -394,7 +394,7 @@
   switch (end) {
     case run_end::completed:
       ++counters_.completed;
-      if (dependencies_.quarantine.is_watching()) {
+      if (dependencies_.quarantine.has_suspects()) {
         dependencies_.quarantine.note_answer(identify(*owner, key.index));
       }
       if (dependencies_.table.complete_text(*owner, key.index, now))
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -61,8 +61,8 @@
   examined_.notify_all();
 }
 
-void crash_watch::note_given_up(directory::server const& server, fingerprint const& request,
-                                time_point sent_at) {
+void crash_watch::note_abandoned_run(directory::server const& server, fingerprint const& request,
+                                     time_point sent_at) {
   auto const [place, fresh] = given_up_.try_emplace(server.life());
   std::vector<crash>& runs = place->second;
   if (runs.size() < k_most_given_up) {
--- a/src/quarantine/crash_watch.h
+++ b/src/quarantine/crash_watch.h
@@ -16,7 +16,7 @@
 namespace frostline::quarantine {
 
 /// What this node knows of servers without looking at them. None of it has to be given.
-struct server_knowledge {
+struct crash_watch_dependencies {
   /// Whether a connection to this server rests here that was made at `made_before` or earlier: a
   /// process that ends closes all that it has. Without it each look opens a connection.
   std::function<bool(directory::server const&, time_point made_before)> has_open_connection;
@@ -29,7 +29,7 @@
 class crash_watch {
  public:
   /// @param on_crash hears of all requests of this node under which a server has ended.
-  crash_watch(asio::io_context& context, server_knowledge known,
+  crash_watch(asio::io_context& context, crash_watch_dependencies known,
               std::function<void(std::vector<crash>)> on_crash)
       : context_(context),
         known_(std::move(known)),
@@ -42,8 +42,8 @@
   /// This side gave up a run at which a server may still be at work: its caller has left, or its
   /// time is over. The connection that would tell of the server's end is closed, so the server is
   /// looked at several times, for as long as it may go on with the run.
-  void note_given_up(directory::server const& server, fingerprint const& request,
-                     time_point sent_at);
+  void note_abandoned_run(directory::server const& server, fingerprint const& request,
+                          time_point sent_at);
   /// Returns once no server is looked at any more for this request after a connection broke, after
   /// 0.32 s at most: as long as one look takes.
   awaitable<void> wait_until_examined(fingerprint request);
@@ -71,7 +71,7 @@
   static std::string_view to_text(server_condition condition);
 
   asio::io_context& context_;
-  server_knowledge known_;
+  crash_watch_dependencies known_;
   std::function<void(std::vector<crash>)> on_crash_;
   /// By the server's life, while it is looked at.
   std::map<std::string, std::vector<crash>> broken_;
--- a/src/quarantine/evidence_record.cc
+++ b/src/quarantine/evidence_record.cc
@@ -7,9 +7,9 @@
 
 namespace frostline::quarantine {
 
-std::string records_of_quarantine() { return "frostline/quarantine"; }
+std::string quarantine_records_prefix() { return "frostline/quarantine"; }
 
-std::string evidence_record::records_prefix() { return records_of_quarantine() + "-evidence/"; }
+std::string evidence_record::records_prefix() { return quarantine_records_prefix() + "-evidence/"; }
 
 std::string evidence_record::key_of(std::string const& node) { return records_prefix() + node; }
 
--- a/src/quarantine/evidence_record.h
+++ b/src/quarantine/evidence_record.h
@@ -38,6 +38,6 @@
 
 /// Key prefix of all that the quarantine keeps in the store: evidence, and requests that are kept
 /// from servers.
-std::string records_of_quarantine();
+std::string quarantine_records_prefix();
 
 }  // namespace frostline::quarantine
--- a/src/quarantine/service.cc
+++ b/src/quarantine/service.cc
@@ -63,7 +63,7 @@
   return undisputed && now < seen->last_at + k_local_refusal;
 }
 
-std::optional<milliseconds> service::time_to_next_try(fingerprint const& request,
+std::optional<milliseconds> service::time_until_retry(fingerprint const& request,
                                                       time_point now) const {
   bool const listed = list_.check(request, now) != verdict::allowed;
   if (listed) return list_.time_to_trial(request, now);
@@ -109,7 +109,7 @@
 
 bool service::is_proven(fingerprint const& request) const {
   suspicion const* const known = collected_.find(request);
-  if (known == nullptr || known->servers.size() < k_most_crashes) return false;
+  if (known == nullptr || known->servers.size() < k_crash_threshold) return false;
   return !is_explained_by_others(request);
 }
 
@@ -185,7 +185,7 @@
   std::size_t const servers = entry.servers.size();
   bool const written = co_await apply(std::move(entry), std::move(put));
   if (!written) co_return;
-  ++counters_.written;
+  ++counters_.records_written;
   log_line(log_level::warning, k_part,
            is_suspicion ? "Suspicion of a request recorded." : "Request put under quarantine.",
            {{"fingerprint", request.to_string()}, {"servers", servers}});
@@ -257,7 +257,7 @@
   // Of many nodes that have answered it, most hear that one of them was faster.
   co_await wait_for(with_jitter(2 * k_take_back_spread) - k_take_back_spread);
   bool const removed = co_await remove_while(request, [](quarantine_entry const&) { return true; });
-  if (removed) ++counters_.taken_back;
+  if (removed) ++counters_.revoked;
   taking_back_.erase(request);
 }
 
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -54,7 +54,7 @@
   std::function<std::vector<endpoint>()> find_collectors;
   /// Whether changes of the store's records come to this node without delay.
   std::function<bool()> are_records_current;
-  server_knowledge servers = {};
+  crash_watch_dependencies servers = {};
 };
 
 /// What the service counts, since the process began.
@@ -64,8 +64,8 @@
   std::uint64_t refused = 0;
   std::uint64_t trials = 0;
   /// Records that this node wrote, and took back because the request was answered.
-  std::uint64_t written = 0;
-  std::uint64_t taken_back = 0;
+  std::uint64_t records_written = 0;
+  std::uint64_t revoked = 0;
 };
 
 class service {
@@ -81,7 +81,7 @@
   void clean(time_point now);
 
   /// Whether any request has to be looked at; mostly none, which saves their fingerprints.
-  bool is_watching() const { return !seen_here_.empty() || !list_.empty() || !former_.empty(); }
+  bool has_suspects() const { return !seen_here_.empty() || !list_.empty() || !former_.empty(); }
   /// Whether a request may be sent to a server now. With `trial`, only if `claim_trial` succeeds.
   verdict check(fingerprint const& request, time_point now) const;
   /// Whether work that no caller waits for, as of a sample, should leave its next run for a moment:
@@ -90,7 +90,7 @@
   /// under nodes that are gone and is being judged.
   bool should_wait(fingerprint const& request, time_point now);
   /// When a request that is refused now may be tried again; nothing if that is not known.
-  std::optional<milliseconds> time_to_next_try(fingerprint const& request, time_point now) const;
+  std::optional<milliseconds> time_until_retry(fingerprint const& request, time_point now) const;
   /// Asks for the right to send a request once, among all nodes.
   awaitable<bool> claim_trial(fingerprint request);
   /// A request was refused for its verdict.
@@ -112,9 +112,9 @@
     crash_watch_.note_broken(server, request, sent_at);
   }
   /// This side gave up a request's run while the server may still be at work on it.
-  void note_given_up(directory::server const& server, fingerprint const& request,
-                     time_point sent_at) {
-    crash_watch_.note_given_up(server, request, sent_at);
+  void note_abandoned_run(directory::server const& server, fingerprint const& request,
+                          time_point sent_at) {
+    crash_watch_.note_abandoned_run(server, request, sent_at);
   }
   void note_servers_changed() { crash_watch_.note_directory_change(); }
   /// A server answered the request.
@@ -198,7 +198,8 @@
   time_point former_until_ = time_point::min();
   bool judging_ = false;
   async_condition evidence_;
-  /// Requests whose records are being written or taken back, or whose trial is being claimed.
+  /// Requests whose records are being records_written or taken back, or whose trial is being
+  /// claimed.
   std::set<fingerprint> writing_;
   /// Requests of which this node has tried to record a suspicion.
   std::set<fingerprint> recorded_early_;
--- a/src/quarantine/suspect_table.cc
+++ b/src/quarantine/suspect_table.cc
@@ -12,7 +12,7 @@
   if (!fresh) ranks_.erase(rank_of(one.request, known));
   if (servers.size() < k_most_servers) servers.push_back(one.server);
   if (one.sent_at >= known.last_in_turn_at) {
-    if (++known.known.in_turn == k_most_crashes) known.known.enough_at = one.ended_at;
+    if (++known.known.in_turn == k_crash_threshold) known.known.enough_at = one.ended_at;
     known.last_in_turn_at = one.ended_at;
   }
   known.known.last_at = std::max(known.known.last_at, one.ended_at);
--- a/src/quarantine/suspect_table.h
+++ b/src/quarantine/suspect_table.h
@@ -20,7 +20,7 @@
 namespace frostline::quarantine {
 
 /// Servers that end under a request before it is kept from others.
-inline constexpr std::uint32_t k_most_crashes = 3;
+inline constexpr std::uint32_t k_crash_threshold = 3;
 
 /// One server that ended while it ran a request.
 struct crash {
@@ -39,7 +39,7 @@
   /// How many of them ended in turn, each after the one before had. Servers that end together, as
   /// in a loss of power, count as one: a request that is popular is under way at many of them.
   std::uint32_t in_turn = 0;
-  /// When that number came to k_most_crashes.
+  /// When that number came to k_crash_threshold.
   std::optional<time_point> enough_at;
   /// When the last of them ended.
   time_point last_at = time_point::min();
--- a/src/rollout/shard_batches.cc
+++ b/src/rollout/shard_batches.cc
@@ -217,13 +217,13 @@
                {{"shard", name_}, {"epoch", epoch_}});
       stop();
       return pull_reply(not_owner());
-    case delivery::commit_result::version_moved:
+    case delivery::commit_result::version_changed:
       if (answer.version_entry) {
         kv::key_value const& entry = *answer.version_entry;
         dependencies_.config_sync.apply_own({entry.key, entry.mod_revision, entry.value, false});
       }
       return std::nullopt;
-    case delivery::commit_result::record_moved:
+    case delivery::commit_result::record_changed:
     case delivery::commit_result::in_doubt:
       // The record is read anew before anything else is planned on it.
       state_ = owner_state::recovering;
--- a/src/usage/usage_ledger.cc
+++ b/src/usage/usage_ledger.cc
@@ -170,7 +170,7 @@
   std::vector<closed_window> closed;
   while (end_of(first_open_) + k_shortest_wait.count() <= true_now) {
     wall_time const end = end_of(first_open_);
-    bool const waited = true_now >= end + options_.longest_wait.count();
+    bool const waited = true_now >= end + options_.max_wait.count();
     if (!waited && !incomplete_at(end).empty()) break;
     closed.push_back(close(first_open_, true_now));
   }
--- a/src/usage/usage_ledger.h
+++ b/src/usage/usage_ledger.h
@@ -21,7 +21,7 @@
   /// Length of a window.
   milliseconds window{5000};
   /// So long after its end a window is closed, whoever has not told all.
-  milliseconds longest_wait{7000};
+  milliseconds max_wait{7000};
 };
 
 /// Why a window was closed.
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -278,7 +278,7 @@
     if (leaving_ || state_ != holder_state::active || !dependencies_.lease.may_order(begin))
       co_return;
     if (is_given_up(window, begin)) {
-      ++counters_.windows_given_up;
+      ++counters_.windows_abandoned;
       log_line(log_level::error, k_part, "Report of usage given up.",
                {{"window", window}, {"requests", requests_of(found->second)}});
       ledger_.note_reported(window);
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -35,7 +35,7 @@
   std::uint64_t windows_closed = 0;
   std::uint64_t windows_reported = 0;
   std::uint64_t reports_failed = 0;
-  std::uint64_t windows_given_up = 0;
+  std::uint64_t windows_abandoned = 0;
   std::uint64_t calls_failed = 0;
 };
 
--- a/tests/unit/delivery/committer_test.cc
+++ b/tests/unit/delivery/committer_test.cc
@@ -29,11 +29,11 @@
   kv::transaction_answer answer;
   answer.read = {held("owner", 5), held("version", 8), held("record", 9)};
   auto const failure = delivery::explain_failure(conditions, answer);
-  CHECK(failure.result == commit_result::version_moved);
+  CHECK(failure.result == commit_result::version_changed);
   LONGS_EQUAL(8, failure.version_entry->mod_revision);
 }
 
 TEST(committer_test, moved_record_is_read_anew) {
   CHECK(explain({held("owner", 5), held("version", 7), held("record", 10)}) ==
-        commit_result::record_moved);
+        commit_result::record_changed);
 }
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -71,7 +71,7 @@
 
 TEST(crash_watch_test, server_that_ends_after_the_run_was_given_up_is_evidence) {
   time_point const sent_at = boot_clock::now();
-  watch.note_given_up(server, request, sent_at);
+  watch.note_abandoned_run(server, request, sent_at);
   CHECK(run_until([&] { return kept == 1; }));
   listener.close();
   CHECK(run_until([&] { return !seen.empty(); }));
@@ -82,14 +82,14 @@
 
 TEST(crash_watch_test, all_runs_that_were_given_up_there_are_told_once) {
   listener.close();
-  for (int run = 0; run < 3; ++run) watch.note_given_up(server, request, boot_clock::now());
+  for (int run = 0; run < 3; ++run) watch.note_abandoned_run(server, request, boot_clock::now());
   CHECK(run_until([&] { return !seen.empty(); }));
   run_for(k_followed);
   LONGS_EQUAL(3, seen.size());
 }
 
 TEST(crash_watch_test, server_that_lives_is_no_evidence_and_is_left_alone_after_a_while) {
-  watch.note_given_up(server, request, boot_clock::now());
+  watch.note_abandoned_run(server, request, boot_clock::now());
   run_for(k_followed);
   std::uint64_t const looks = watch.connections_opened();
   listener.close();
@@ -100,17 +100,17 @@
 
 TEST(crash_watch_test, connection_that_rests_saves_one) {
   has_resting = true;
-  watch.note_given_up(server, request, boot_clock::now());
+  watch.note_abandoned_run(server, request, boot_clock::now());
   run_for(k_followed);
   CHECK(seen.empty());
   LONGS_EQUAL(0, watch.connections_opened());
 }
 
 TEST(crash_watch_test, server_is_followed_anew_for_a_later_run) {
-  watch.note_given_up(server, request, boot_clock::now());
+  watch.note_abandoned_run(server, request, boot_clock::now());
   run_for(k_followed);
   listener.close();
-  watch.note_given_up(server, request, boot_clock::now());
+  watch.note_abandoned_run(server, request, boot_clock::now());
   CHECK(run_until([&] { return !seen.empty(); }));
 }
 
--- a/tests/unit/quarantine/quarantine_service_test.cc
+++ b/tests/unit/quarantine/quarantine_service_test.cc
@@ -135,7 +135,7 @@
     evidence_record record{writer, incarnation, {{request, {"one", "two"}}}, wall_clock_ms()};
     store.put_now(evidence_record::key_of("former"), record.encode());
     kv::range_answer all;
-    all.entries = store.list_now(records_of_quarantine());
+    all.entries = store.list_now(quarantine_records_prefix());
     collector.listener().snapshot(all);
   }
 
@@ -231,7 +231,7 @@
   record_suspicion();
   for (char const* server : {"zero", "one", "two", "three"}) see_server_end(server, deadly);
   see_server_end("three", request);
-  CHECK(run_until([&] { return collector.counters().written == 2; }));
+  CHECK(run_until([&] { return collector.counters().records_written == 2; }));
   CHECK(run_until([&] { return collector.records() == 1; }));
   time_point const later = boot_clock::now() + seconds(1);
   CHECK(collector.check(request, later) == verdict::allowed);
