--- a/src/delivery/committer.cc
+++ b/src/delivery/committer.cc
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::string_view k_part = "delivery";
-constexpr int k_read_back_tries = 5;
-constexpr milliseconds k_read_back_pause{100};
+constexpr int k_max_read_back_attempts = 5;
+constexpr milliseconds k_read_back_interval{100};
 
-kv::transaction conditional(commit_conditions const& conditions) {
+kv::transaction make_conditional_transaction(commit_conditions const& conditions) {
   kv::transaction change;
   change.compares.push_back({conditions.owner_key, conditions.epoch});
   change.compares.push_back({conditions.version_key, conditions.version_revision});
@@ -38,7 +38,7 @@
       if (entry.key == conditions.version_key) failure.version_entry = entry;
     }
   }
-  // Losing the shard outweighs all else.
+  // Loss of the shard takes precedence over the other failures.
   if (revision_in(answer, conditions.owner_key) != conditions.epoch) {
     failure.result = commit_result::fenced;
   }
@@ -47,7 +47,7 @@
 
 awaitable<commit_answer> committer::commit(commit_conditions conditions,
                                            rpc::DeliveryRecordT const& record) {
-  kv::transaction change = conditional(conditions);
+  kv::transaction change = make_conditional_transaction(conditions);
   change.on_success.push_back(
       {kv::operation_kind::put, conditions.record_key, rpc::encode(record), 0});
   std::string identity = record.identity;
@@ -60,7 +60,7 @@
   }
   if (answer) co_return explain_failure(conditions, answer.value());
   if (answer.error() != kv::errc::outcome_unknown) co_return commit_answer{};
-  log_line(log_level::warning, k_part, "Answer of a commit was lost: reading back.",
+  log_line(log_level::warning, k_part, "Outcome of a commit is unknown; reading the record back.",
            {{"record", conditions.record_key}});
   co_return co_await resolve(std::move(conditions), std::move(identity));
 }
@@ -68,7 +68,7 @@
 awaitable<commit_answer> committer::resolve(commit_conditions conditions, std::string identity) {
   commit_answer found;
   found.result = commit_result::in_doubt;
-  for (int attempt = 0; attempt < k_read_back_tries; ++attempt) {
+  for (int attempt = 0; attempt < k_max_read_back_attempts; ++attempt) {
     auto stored = co_await read(conditions.record_key);
     if (stored) {
       bool const ours = stored.value().record.identity == identity;
@@ -76,13 +76,13 @@
       found.revision = stored.value().revision;
       co_return found;
     }
-    co_await wait_for(k_read_back_pause);
+    co_await wait_for(k_read_back_interval);
   }
   co_return found;
 }
 
 awaitable<commit_answer> committer::confirm(commit_conditions conditions) {
-  auto answer = co_await service_.apply(conditional(conditions));
+  auto answer = co_await service_.apply(make_conditional_transaction(conditions));
   commit_answer outcome;
   if (!answer) co_return outcome;
   if (!answer.value().succeeded) co_return explain_failure(conditions, answer.value());
--- a/src/delivery/committer.h
+++ b/src/delivery/committer.h
@@ -1,5 +1,5 @@
-/// @file Replaces a shard's delivery record by one fenced transaction, and finds out what became of
-/// a transaction whose answer was lost.
+/// @file Replaces a shard's delivery record in one fenced transaction, and resolves transactions
+/// with an unknown outcome.
 #pragma once
 
 #include <optional>
@@ -12,21 +12,21 @@
 namespace frostline::delivery {
 
 enum class commit_result {
-  /// The record is in force.
+  /// The record is stored.
   committed,
-  /// Another owner holds the shard: this one must stop.
+  /// Another owner holds the shard, so this one must stop.
   fenced,
   /// Another version was published since the batch was planned.
   version_changed,
-  /// The record is not the one the plan was made from; read it again.
+  /// The stored record is not the one that the plan is based on; read it again.
   record_changed,
-  /// It can't be known now whether the record is in force.
+  /// It is unknown whether the record was stored.
   in_doubt,
-  /// Nothing was changed; the service is not there.
+  /// The store is unavailable; nothing was changed.
   unavailable,
 };
 
-/// What a commit depends on, and so compares.
+/// Keys and revisions that a commit compares.
 struct commit_conditions {
   std::string owner_key;
   kv::revision epoch = 0;
@@ -40,17 +40,16 @@
   commit_result result = commit_result::unavailable;
   /// Revision of the commit.
   kv::revision revision = 0;
-  /// With version_changed: what the version key holds now.
+  /// With version_changed: the current entry of the version key.
   std::optional<kv::key_value> version_entry;
 };
 
-/// A delivery record as the store holds it.
 struct stored_record {
   rpc::DeliveryRecordT record;
   kv::revision revision = 0;
 };
 
-/// Which condition failed, by what the store holds now. Pure.
+/// Determines the failed condition from the current entries in the answer. Pure.
 commit_answer explain_failure(commit_conditions const& conditions,
                               kv::transaction_answer const& answer);
 
@@ -58,11 +57,11 @@
  public:
   explicit committer(kv::client& service) : service_(service) {}
 
-  /// Puts `record` in force if all conditions hold. A lost answer is resolved by reading back.
+  /// Stores `record` if all conditions hold. If the outcome is unknown, reads the record back.
   awaitable<commit_answer> commit(commit_conditions conditions, rpc::DeliveryRecordT const& record);
-  /// Checks the conditions and changes nothing.
+  /// Checks the conditions without changing anything.
   awaitable<commit_answer> confirm(commit_conditions conditions);
-  /// @return the stored record (revision 0 if there is none yet), or the service's error.
+  /// @return the stored record (revision 0 if there is none), or the store's error.
   awaitable<result<stored_record>> read(std::string record_key);
 
  private:
--- a/src/delivery/delivered_set.h
+++ b/src/delivery/delivered_set.h
@@ -1,5 +1,5 @@
-/// @file Which samples of a shard are delivered: a watermark and, above it, a bitmap for each
-/// group. Pure; it is what the delivery record stores.
+/// @file The delivered samples of a shard: a watermark and a bitmap for each partly delivered group
+/// above it. Pure; this is what the delivery record stores.
 #pragma once
 
 #include <compare>
@@ -21,25 +21,25 @@
 
 class delivered_set {
  public:
-  /// @param first the lowest group of the shard; @param stride distance of its groups.
+  /// @param first lowest group of the shard. @param stride distance between its groups.
   delivered_set(std::uint64_t first, std::uint64_t stride) : watermark_(first), stride_(stride) {}
 
   bool contains(sample_key key) const;
-  /// @param group_size samples in the key's group.
+  /// @param group_size number of samples in the key's group.
   void insert(sample_key key, std::uint32_t group_size);
-  /// Takes a sample out again; it lies above the watermark or the watermark goes back to it.
+  /// Removes a sample; moves the watermark back if the sample lies below it.
   void remove(sample_key key, std::uint32_t group_size);
-  /// All groups below are delivered in full.
+  /// All groups below are fully delivered.
   std::uint64_t watermark() const { return watermark_; }
-  /// Samples delivered above the watermark.
+  /// Number of samples delivered above the watermark.
   std::uint64_t partial_count() const;
 
   void write_to(rpc::DeliveryRecordT& record) const;
-  /// Takes over what a record holds.
+  /// Replaces the content by that of a record.
   void read_from(rpc::DeliveryRecordT const& record);
 
  private:
-  /// An empty bitmap stands for a group of any size that is delivered in full.
+  /// An empty bitmap stands for a fully delivered group of any size.
   using bitmap = std::vector<bool>;
   inline static bitmap const k_full_group{};
   static bool is_full(bitmap const& bits);
--- a/src/delivery/ledger.h
+++ b/src/delivery/ledger.h
@@ -1,8 +1,8 @@
-/// @file The delivery state of one shard and how a pull moves it. Pure.
+/// @file Delivery state of one shard and its transitions. Pure.
 ///
-/// The point of delivery is the transaction that replaces the delivery record. A trainer
+/// Samples are delivered by the transaction that replaces the delivery record. A trainer
 /// acknowledges batch N by pulling with cursor N and the identity of N. Pulling again with cursor N
-/// says that N+1 was not made durable, so N+1 may then be replaced under a new identity.
+/// means that the trainer did not persist N+1, so N+1 may be replaced under a new identity.
 #pragma once
 
 #include <string>
@@ -22,15 +22,14 @@
   std::uint32_t group_size = 0;
 };
 
-/// What a pull asks for.
 enum class pull_kind {
-  /// The batch after the last one, which is acknowledged.
+  /// The next batch; the last one is acknowledged.
   next,
   /// The last batch again.
   repeat,
-  /// The cursor's batch was replaced: its identity is not the one that counts.
+  /// The identity does not match the batch at the cursor, which was replaced.
   superseded,
-  /// The cursor is neither the last batch nor the one before.
+  /// The cursor is neither the last batch nor the one before it.
   out_of_order,
 };
 
@@ -40,15 +39,16 @@
 
   pull_kind classify(std::uint64_t cursor, std::string const& identity) const;
 
-  /// The record that commits the next batch.
+  /// Builds the record that commits the next batch.
   rpc::DeliveryRecordT plan_next(std::vector<manifest_entry> const& entries,
                                  std::uint64_t published_version, std::string identity) const;
-  /// The record that replaces the last batch: `entries` instead of `withdrawn` and what was there.
+  /// Builds the record that replaces the last batch: samples in `withdrawn` are no longer
+  /// delivered, those in `entries` are.
   rpc::DeliveryRecordT plan_replacement(std::vector<manifest_entry> const& entries,
                                         std::vector<manifest_entry> const& withdrawn,
                                         std::uint64_t published_version,
                                         std::string identity) const;
-  /// Takes over a record that is in the store at `revision`.
+  /// Adopts a record that the store holds at `revision`.
   void adopt(rpc::DeliveryRecordT const& record, std::uint64_t revision);
 
   delivered_set const& delivered() const { return delivered_; }
@@ -56,7 +56,7 @@
   std::uint64_t batch() const { return batch_; }
   std::string const& identity() const { return identity_; }
   std::uint64_t published_version() const { return published_version_; }
-  /// Revision of the stored record; 0 before the first.
+  /// Revision of the stored record; 0 if there is none.
   std::uint64_t revision() const { return revision_; }
 
  private:
--- a/src/usage/duty_service.h
+++ b/src/usage/duty_service.h
@@ -1,4 +1,5 @@
-/// @file The platform's service that takes what only one node at a time may tell it.
+/// @file Interface of the platform service that accepts calls from only one node, the duty holder,
+/// at a time.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +10,27 @@
 
 namespace frostline::usage {
 
-/// In whose name a call is made.
+/// The node that makes a call, and its fencing token.
 struct duty_holder {
   std::string node;
-  /// Rises whenever another node becomes the holder.
+  /// Increases whenever another node becomes the holder.
   std::uint64_t fence = 0;
 };
 
 enum class report_reply {
   accepted,
-  /// Too many calls just now: nothing was done.
+  /// The service is overloaded and did nothing.
   busy,
-  /// The service takes this call never: it is malformed, or a newer holder is known.
+  /// The call will never be accepted: it is malformed or a newer holder is known.
   refused,
-  /// No answer, or a failure: it may have been taken.
+  /// No answer or a failure; the report may have been accepted.
   unknown,
 };
 
 class duty_service {
  public:
   virtual ~duty_service() = default;
-  /// The same report may be sent again; another one for the same window must not.
+  /// The same report may be sent again, but a window must not be reported with different counts.
   virtual awaitable<report_reply> report_usage(duty_holder holder, rpc::UsageWindowT window) = 0;
 };
 
--- a/src/usage/run_counter.h
+++ b/src/usage/run_counter.h
@@ -1,5 +1,4 @@
-/// @file Counts, on one node, the requests of each tenant that servers began to run, and when.
-/// Pure.
+/// @file Counts the requests of each tenant that servers began to run for one node, and when. Pure.
 #pragma once
 
 #include <cstdint>
@@ -18,19 +17,19 @@
 
   /// A request is about to be sent to a server, which may begin to run it from now on.
   attempt_id begin_attempt(time_point now);
-  /// The server has, or has not, begun to run it.
-  /// @param began_at when it began.
+  /// Counts the request if the server began to run it.
+  /// @param began_at when the server began, if it did.
   void end_attempt(attempt_id id, std::string const& tenant, bool began, time_point began_at);
 
-  /// Entries after `sequence`, and up to when all is told.
-  /// @param most entries at once; the rest follows with the next call.
-  rpc::UsageCallT entries_after(std::uint64_t sequence, time_point now, std::size_t most) const;
+  /// Entries after `sequence`, and the time up to which they are complete.
+  /// @param max_entries limit of entries; the rest follows with the next call.
+  rpc::UsageCallT entries_after(std::uint64_t sequence, time_point now,
+                                std::size_t max_entries) const;
   bool has_entries_after(std::uint64_t sequence) const {
     return !entries_.empty() && entries_.back().sequence > sequence;
   }
-  /// Drops entries of requests that began before this time: every window that they could be in is
-  /// over.
-  void forget_before(time_point when);
+  /// Drops entries of requests that began before `when`, once no window can count them.
+  void drop_before(time_point when);
   std::uint64_t total() const { return total_; }
 
  private:
@@ -41,8 +40,8 @@
     time_point began_at{};
   };
 
-  /// By the time of their sending, and so in the order of their identifiers.
-  std::map<attempt_id, time_point> open_;
+  /// Start times of attempts, in the order of their identifiers.
+  std::map<attempt_id, time_point> in_flight_;
   std::deque<entry> entries_;
   attempt_id next_attempt_ = 1;
   std::uint64_t next_sequence_ = 1;
--- a/src/usage/usage_ledger.cc
+++ b/src/usage/usage_ledger.cc
@@ -5,23 +5,23 @@
 namespace frostline::usage {
 namespace {
 
-/// A process that has not been heard of for that long holds no window up, and what it counted is
-/// older than any open window: above the longest wait and a window's length.
-constexpr milliseconds k_longest_silence{20'000};
-/// Windows without a holder that are still reported; older ones nobody waits for.
-constexpr std::uint64_t k_longest_backlog = 12;
-/// Above what a call takes from a node to the holder when both are well.
-constexpr milliseconds k_shortest_wait{400};
+/// A process that is silent for this long no longer delays the closing of windows. Longer than the
+/// maximum wait plus a window, so its counts belong to closed windows.
+constexpr milliseconds k_process_timeout{20'000};
+/// Older windows are not reported after a time without a holder.
+constexpr std::uint64_t k_max_backlog_windows = 12;
+/// Longer than a call from a healthy node to the holder takes.
+constexpr milliseconds k_min_close_delay{400};
 
 rpc::UsageWindowT make_window(std::uint64_t window,
                               std::map<std::string, std::uint64_t> const& counts) {
   rpc::UsageWindowT made;
   made.window = window;
   for (auto const& [tenant, requests] : counts) {
-    auto one = std::make_unique<rpc::TenantCountT>();
-    one->tenant = tenant;
-    one->requests = requests;
-    made.counts.push_back(std::move(one));
+    auto count = std::make_unique<rpc::TenantCountT>();
+    count->tenant = tenant;
+    count->requests = requests;
+    made.counts.push_back(std::move(count));
   }
   return made;
 }
@@ -32,7 +32,7 @@
 
 std::map<std::string, std::uint64_t> counts_of(rpc::UsageWindowT const& window) {
   std::map<std::string, std::uint64_t> counts;
-  for (auto const& one : window.counts) counts[one->tenant] += one->requests;
+  for (auto const& count : window.counts) counts[count->tenant] += count->requests;
   return counts;
 }
 
@@ -56,19 +56,20 @@
   first_open_ = current;
   if (state == nullptr) return;
   changed_ = false;
-  std::uint64_t const oldest = current > k_longest_backlog ? current - k_longest_backlog : 0;
+  std::uint64_t const oldest =
+      current > k_max_backlog_windows ? current - k_max_backlog_windows : 0;
   first_open_ = std::max(state->first_open, oldest);
-  for (auto const& one : state->open) {
-    if (one->window >= first_open_) open_[one->window] = counts_of(*one);
+  for (auto const& stored : state->open) {
+    if (stored->window >= first_open_) open_[stored->window] = counts_of(*stored);
   }
-  for (auto const& one : state->unreported) {
-    unreported_[one->window] = make_window(one->window, counts_of(*one));
+  for (auto const& stored : state->unreported) {
+    unreported_[stored->window] = make_window(stored->window, counts_of(*stored));
   }
-  for (auto const& one : state->processes) {
-    process& known = processes_[one->incarnation];
-    known.node = one->node;
-    known.counted_to = one->counted_to;
-    known.heard_at = now;
+  for (auto const& stored : state->processes) {
+    process& known = processes_[stored->incarnation];
+    known.node = stored->node;
+    known.counted_to = stored->counted_to;
+    known.last_heard_at = now;
   }
 }
 
@@ -83,30 +84,30 @@
         std::make_unique<rpc::UsageWindowT>(make_window(window, counts_of(closed))));
   }
   for (auto const& [incarnation, known] : processes_) {
-    auto one = std::make_unique<rpc::CountedProcessT>();
-    one->incarnation = incarnation;
-    one->node = known.node;
-    one->counted_to = known.counted_to;
-    state.processes.push_back(std::move(one));
+    auto item = std::make_unique<rpc::CountedProcessT>();
+    item->incarnation = incarnation;
+    item->node = known.node;
+    item->counted_to = known.counted_to;
+    state.processes.push_back(std::move(item));
   }
   return state;
 }
 
-std::uint64_t usage_ledger::take(rpc::UsageCallT const& call, time_point now) {
-  process& from = processes_[call.incarnation];
-  from.node = call.node;
-  from.heard_at = now;
-  from.left = call.leaving;
-  from.offset = static_cast<wall_time>(call.wall_clock_ms) - steady_ms(now);
+std::uint64_t usage_ledger::add_counts(rpc::UsageCallT const& call, time_point now) {
+  process& sender = processes_[call.incarnation];
+  sender.node = call.node;
+  sender.last_heard_at = now;
+  sender.left = call.leaving;
+  sender.offset = static_cast<wall_time>(call.wall_clock_ms) - steady_ms(now);
   wall_time const true_now = true_time(now);
   for (auto const& entry : call.entries) {
-    if (entry->sequence <= from.counted_to) continue;
+    if (entry->sequence <= sender.counted_to) continue;
     count(*entry, true_now - static_cast<wall_time>(entry->ago_ms));
-    from.counted_to = entry->sequence;
+    sender.counted_to = entry->sequence;
     changed_ = true;
   }
-  from.complete_to = true_now - static_cast<wall_time>(call.complete_ms_ago);
-  return from.counted_to;
+  sender.complete_to = true_now - static_cast<wall_time>(call.complete_ms_ago);
+  return sender.counted_to;
 }
 
 void usage_ledger::count(rpc::RunCountT const& entry, wall_time began_at) {
@@ -130,11 +131,11 @@
 }
 
 std::set<std::string> usage_ledger::incomplete_at(wall_time when) const {
-  // A node's older processes have ended; only the one that told most lately counts.
+  // Earlier processes of a node have ended; only the latest one counts.
   std::map<std::string, process const*> newest;
   for (auto const& [incarnation, known] : processes_) {
-    process const*& held = newest[known.node];
-    if (held == nullptr || known.complete_to > held->complete_to) held = &known;
+    process const*& latest = newest[known.node];
+    if (latest == nullptr || known.complete_to > latest->complete_to) latest = &known;
   }
   std::set<std::string> missing;
   for (auto const& [node, known] : newest) {
@@ -143,9 +144,10 @@
   return missing;
 }
 
-void usage_ledger::forget_silent(time_point now) {
-  std::erase_if(processes_,
-                [&](auto const& entry) { return now - entry.second.heard_at > k_longest_silence; });
+void usage_ledger::expire_silent_processes(time_point now) {
+  std::erase_if(processes_, [&](auto const& entry) {
+    return now - entry.second.last_heard_at > k_process_timeout;
+  });
 }
 
 closed_window usage_ledger::close(std::uint64_t window, wall_time true_now) {
@@ -165,10 +167,10 @@
 }
 
 std::vector<closed_window> usage_ledger::close_due(time_point now) {
-  forget_silent(now);
+  expire_silent_processes(now);
   wall_time const true_now = true_time(now);
   std::vector<closed_window> closed;
-  while (end_of(first_open_) + k_shortest_wait.count() <= true_now) {
+  while (end_of(first_open_) + k_min_close_delay.count() <= true_now) {
     wall_time const end = end_of(first_open_);
     bool const waited = true_now >= end + options_.max_wait.count();
     if (!waited && !incomplete_at(end).empty()) break;
--- a/src/usage/usage_ledger.h
+++ b/src/usage/usage_ledger.h
@@ -1,5 +1,6 @@
-/// @file What the node that reports usage knows of each window: counts by tenant, which nodes have
-/// told all, which windows are closed. Pure; the record store keeps its state.
+/// @file State of the node that reports usage: counts of each window by tenant, which nodes have
+/// sent all their counts, and which windows are closed. Pure; the state is kept in the record
+/// store.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +15,21 @@
 
 namespace frostline::usage {
 
-/// True time in milliseconds since 1970.
+/// Unix time in milliseconds.
 using wall_time = std::int64_t;
 
 struct ledger_options {
-  /// Length of a window.
   milliseconds window{5000};
-  /// So long after its end a window is closed, whoever has not told all.
+  /// Time after its end at which a window is closed even if counts of some nodes are missing.
   milliseconds max_wait{7000};
 };
 
-/// Why a window was closed.
+/// Summary of a closed window.
 struct closed_window {
   std::uint64_t window = 0;
   std::uint64_t requests = 0;
   std::size_t nodes = 0;
-  /// Nodes that had not told all of it.
+  /// Nodes that had not sent all their counts.
   std::vector<std::string> missing;
   milliseconds waited{0};
 };
@@ -38,32 +38,32 @@
  public:
   explicit usage_ledger(ledger_options options) : options_(options) {}
 
-  /// Begins anew with what a former holder has stored, or, without a state, with the present
-  /// window.
-  /// @param own_clock this node's time of day, believed until nodes have told theirs.
+  /// Restores the state stored by a previous holder, or starts with the current window if `state`
+  /// is null.
+  /// @param own_clock this node's wall clock, used until nodes have sent theirs.
   void restore(rpc::UsageStateT const* state, wall_time own_clock, time_point now);
   rpc::UsageStateT state() const;
 
-  /// Takes what a node counted; entries that are counted already are passed over.
-  /// @return highest sequence that is counted.
-  std::uint64_t take(rpc::UsageCallT const& call, time_point now);
+  /// Adds the counts of a node, ignoring entries that were counted before.
+  /// @return the highest sequence counted for the sender's process.
+  std::uint64_t add_counts(rpc::UsageCallT const& call, time_point now);
 
-  /// The middle of what the nodes' clocks say, carried on by the steady clock: a clock that is
-  /// wrong or jumps moves no window.
+  /// Median of the nodes' wall clocks, advanced by the steady clock, so that a single wrong clock
+  /// shifts no window.
   wall_time true_time(time_point now) const;
 
-  /// Closes each window that is told by all nodes, or has waited for long enough.
+  /// Closes each window for which all nodes have sent their counts or the maximum wait is over.
   std::vector<closed_window> close_due(time_point now);
 
-  /// Closed windows whose report is not known to have arrived, the oldest first.
+  /// Closed windows whose report is not yet acknowledged, oldest first.
   std::map<std::uint64_t, rpc::UsageWindowT> const& unreported() const { return unreported_; }
   void note_reported(std::uint64_t window) { changed_ |= unreported_.erase(window) > 0; }
 
-  /// Whether the state differs from the one last stored.
+  /// Returns true if the state differs from the stored one.
   bool is_changed() const { return changed_; }
   void note_stored() { changed_ = false; }
   void note_not_stored() { changed_ = true; }
-  /// Requests that came after their window was closed.
+  /// Requests whose counts arrived after their window was closed.
   std::uint64_t late() const { return late_; }
 
  private:
@@ -73,18 +73,18 @@
     std::string node;
     std::uint64_t counted_to = 0;
     wall_time complete_to = 0;
-    /// Its time of day less the holder's steady clock, once it has told it.
+    /// The process's wall clock minus the holder's steady clock, once received.
     std::optional<wall_time> offset;
-    time_point heard_at{};
+    time_point last_heard_at{};
     bool left = false;
   };
 
   std::uint64_t window_of(wall_time when) const;
   wall_time end_of(std::uint64_t window) const;
   void count(rpc::RunCountT const& entry, wall_time began_at);
-  /// Nodes that may still have something to tell of the time before `when`.
+  /// Nodes that may still send counts of requests that began before `when`.
   std::set<std::string> incomplete_at(wall_time when) const;
-  void forget_silent(time_point now);
+  void expire_silent_processes(time_point now);
   closed_window close(std::uint64_t window, wall_time true_now);
 
   ledger_options options_;
@@ -93,7 +93,7 @@
   std::map<std::uint64_t, rpc::UsageWindowT> unreported_;
   /// By incarnation.
   std::map<std::string, process> processes_;
-  /// As an offset of a process; used until one has told its own.
+  /// Offset of this node's own clock, used until a process has sent one.
   wall_time own_offset_ = 0;
   bool changed_ = false;
   std::uint64_t late_ = 0;
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -12,43 +12,44 @@
 
 constexpr std::string_view k_part = "usage";
 constexpr std::string_view k_state_key = "frostline/usage/state";
-constexpr milliseconds k_tick{250};
-/// What a node's death may lose: a tenth of a window of 5 s, at one of many nodes.
-constexpr milliseconds k_tell_interval{500};
-/// A node without anything new says so that often, so that windows need not wait for it.
+constexpr milliseconds k_poll_interval{250};
+/// Bounds the counts that are lost when a node crashes.
+constexpr milliseconds k_send_interval{500};
+/// Idle nodes also send calls, so that windows can be closed without waiting for them.
 constexpr milliseconds k_idle_interval{2000};
-/// What a holder's death leaves to be told again; each write is one call to the store.
+/// Bounds the counts that nodes must send again when the holder crashes; each write is one store
+/// call.
 constexpr milliseconds k_store_interval{1000};
-/// A new holder closes nothing before the other nodes have had time to tell it what they counted.
-constexpr milliseconds k_hearing_time{1500};
-constexpr milliseconds k_tell_timeout{800};
+/// Time for the other nodes to send their counts to a new holder before it closes windows.
+constexpr milliseconds k_collection_wait{1500};
+constexpr milliseconds k_send_timeout{800};
 constexpr milliseconds k_store_timeout{1000};
-constexpr milliseconds k_retry_pause{250};
-/// Entries in one call; at 11 requests a second and node, what half a minute brings.
-constexpr std::size_t k_most_entries = 400;
-/// Entries are kept until a new holder can have closed every window they lie in.
+constexpr milliseconds k_retry_delay{250};
+/// Limit of entries in one call; the rest follows with the next one.
+constexpr std::size_t k_max_entries = 400;
+/// Long enough for a new holder to close all windows that the entries belong to.
 constexpr milliseconds k_retention{40'000};
-/// A report that the service has not taken for that long after its window is given up.
-constexpr milliseconds k_longest_trying{60'000};
+/// Time after the end of a window at which an unacknowledged report is abandoned.
+constexpr milliseconds k_max_report_age{60'000};
 
-rpc::UsageStateT const* or_null(std::optional<rpc::UsageStateT> const& state) {
+rpc::UsageStateT const* pointer_or_null(std::optional<rpc::UsageStateT> const& state) {
   return state ? &*state : nullptr;
 }
 
-std::string joined(std::vector<std::string> const& names) {
-  constexpr std::size_t k_most_names = 5;
+std::string join_names(std::vector<std::string> const& names) {
+  constexpr std::size_t k_max_names = 5;
   std::string text;
-  for (std::size_t index = 0; index < std::min(names.size(), k_most_names); ++index) {
+  for (std::size_t index = 0; index < std::min(names.size(), k_max_names); ++index) {
     if (index > 0) text += ',';
     text += names[index];
   }
-  if (names.size() > k_most_names) text += ",...";
+  if (names.size() > k_max_names) text += ",...";
   return text;
 }
 
 std::uint64_t requests_of(rpc::UsageWindowT const& window) {
   std::uint64_t sum = 0;
-  for (auto const& one : window.counts) sum += one->requests;
+  for (auto const& count : window.counts) sum += count->requests;
   return sum;
 }
 
@@ -76,8 +77,8 @@
 std::string usage_reporter::state_key() { return std::string(k_state_key); }
 
 void usage_reporter::start() {
-  spawn(dependencies_.context, tell_loop());
-  spawn(dependencies_.context, hold_loop());
+  spawn(dependencies_.context, send_loop());
+  spawn(dependencies_.context, holder_loop());
 }
 
 rpc::UsageReplyT usage_reporter::count(rpc::UsageCallT call) {
@@ -85,39 +86,40 @@
   time_point const now = boot_clock::now();
   if (state_ != holder_state::active || !dependencies_.lease.holds(now)) return reply;
   std::uint64_t const late_before = ledger_.late();
-  reply.counted_to = ledger_.take(call, now);
+  reply.counted_to = ledger_.add_counts(call, now);
   reply.taken = true;
   if (ledger_.late() > late_before) {
-    log_line(log_level::warning, k_part, "Counts came after their window was closed.",
+    log_line(log_level::warning, k_part, "Counts arrived after their window was closed.",
              {{"node", call.node}, {"requests", ledger_.late() - late_before}, {"epoch", epoch_}});
   }
   return reply;
 }
 
-awaitable<void> usage_reporter::tell_loop() {
+awaitable<void> usage_reporter::send_loop() {
   while (!leaving_) {
-    co_await wait_for(k_tick);
+    co_await wait_for(k_poll_interval);
     time_point const now = boot_clock::now();
-    dependencies_.counter.forget_before(now - k_retention);
-    if (!leaving_ && is_time_to_tell(now)) co_await tell_holder(k_tell_timeout);
+    dependencies_.counter.drop_before(now - k_retention);
+    if (!leaving_ && is_send_due(now)) co_await send_counts(k_send_timeout);
   }
 }
 
-bool usage_reporter::is_time_to_tell(time_point now) const {
+bool usage_reporter::is_send_due(time_point now) const {
   auto const& holder = dependencies_.lease.owner();
   if (!holder) return false;
-  if (holder->epoch != told_epoch_) return true;
-  bool const news = dependencies_.counter.has_entries_after(told_to_);
-  return now - told_at_ >= (news ? k_tell_interval : k_idle_interval);
+  if (holder->epoch != acknowledged_epoch_) return true;
+  bool const has_new_entries = dependencies_.counter.has_entries_after(acknowledged_sequence_);
+  return now - last_sent_at_ >= (has_new_entries ? k_send_interval : k_idle_interval);
 }
 
-awaitable<void> usage_reporter::tell_holder(milliseconds timeout) {
+awaitable<void> usage_reporter::send_counts(milliseconds timeout) {
   auto const holder = dependencies_.lease.owner();
-  if (!holder || telling_) co_return;
-  telling_ = true;
-  std::uint64_t const from = holder->epoch == told_epoch_ ? told_to_ : 0;
+  if (!holder || sending_) co_return;
+  sending_ = true;
+  std::uint64_t const last_acknowledged =
+      holder->epoch == acknowledged_epoch_ ? acknowledged_sequence_ : 0;
   rpc::UsageCallT call =
-      dependencies_.counter.entries_after(from, boot_clock::now(), k_most_entries);
+      dependencies_.counter.entries_after(last_acknowledged, boot_clock::now(), k_max_entries);
   call.node = dependencies_.node;
   call.incarnation = incarnation_;
   call.wall_clock_ms = wall_clock_ms();
@@ -132,21 +134,21 @@
     if (answer) reply = answer.value();
     if (!answer) failure = answer.error().detail;
   }
-  telling_ = false;
-  told_at_ = boot_clock::now();
+  sending_ = false;
+  last_sent_at_ = boot_clock::now();
   if (!failure.empty()) {
     ++counters_.calls_failed;
-    log_line(log_level::info, k_part, "The holder did not take this node's counts.",
+    log_line(log_level::info, k_part, "Failed to send counts to the holder.",
              {{"holder", holder->node}, {"epoch", holder->epoch}, {"error", failure}});
   }
   if (!reply.taken) co_return;
-  told_epoch_ = holder->epoch;
-  told_to_ = reply.counted_to;
+  acknowledged_epoch_ = holder->epoch;
+  acknowledged_sequence_ = reply.counted_to;
 }
 
-awaitable<void> usage_reporter::hold_loop() {
+awaitable<void> usage_reporter::holder_loop() {
   while (!leaving_) {
-    co_await wait_for(k_tick);
+    co_await wait_for(k_poll_interval);
     time_point const now = boot_clock::now();
     if (!dependencies_.lease.holds(now)) {
       if (dependencies_.lease.state() != ownership::lease_state::owner)
@@ -173,21 +175,21 @@
   std::optional<rpc::UsageStateT> state;
   state_revision_ = 0;
   stored_windows_.clear();
-  for (kv::key_value const& one : answer.value().entries) {
-    if (one.key != state_key()) continue;
-    state_revision_ = one.mod_revision;
-    state = rpc::decode<rpc::UsageStateT>(one.value);
+  for (kv::key_value const& entry : answer.value().entries) {
+    if (entry.key != state_key()) continue;
+    state_revision_ = entry.mod_revision;
+    state = rpc::decode<rpc::UsageStateT>(entry.value);
     if (!state) {
       log_line(log_level::error, k_part,
-               "The stored state of usage is malformed; counts begin anew.",
-               {{"revision", one.mod_revision}});
+               "The stored usage state is malformed; counting starts again.",
+               {{"revision", entry.mod_revision}});
     }
   }
   if (state) {
-    for (auto const& one : state->unreported) stored_windows_.insert(one->window);
+    for (auto const& window : state->unreported) stored_windows_.insert(window->window);
   }
   loaded_at_ = boot_clock::now();
-  ledger_.restore(or_null(state), static_cast<wall_time>(wall_clock_ms()), loaded_at_);
+  ledger_.restore(pointer_or_null(state), static_cast<wall_time>(wall_clock_ms()), loaded_at_);
   epoch_ = epoch;
   state_ = holder_state::active;
   log_line(log_level::info, k_part, "This node reports usage.",
@@ -198,16 +200,16 @@
 }
 
 void usage_reporter::close_windows(time_point now) {
-  if (now - loaded_at_ < k_hearing_time) return;
-  for (closed_window const& one : ledger_.close_due(now)) {
+  if (now - loaded_at_ < k_collection_wait) return;
+  for (closed_window const& window : ledger_.close_due(now)) {
     ++counters_.windows_closed;
-    log_line(log_level::info, k_part, "Usage of a window is closed.",
-             {{"window", one.window},
-              {"requests", one.requests},
-              {"nodes", one.nodes},
-              {"nodes_missing", one.missing.size()},
-              {"missing", joined(one.missing)},
-              {"waited_ms", one.waited.count()},
+    log_line(log_level::info, k_part, "Usage window closed.",
+             {{"window", window.window},
+              {"requests", window.requests},
+              {"nodes", window.nodes},
+              {"nodes_missing", window.missing.size()},
+              {"missing", join_names(window.missing)},
+              {"waited_ms", window.waited.count()},
               {"epoch", epoch_}});
   }
 }
@@ -235,8 +237,8 @@
   auto outcome = co_await dependencies_.store.apply(std::move(change), k_store_timeout);
   kv::revision revision = outcome && outcome.value().succeeded ? outcome.value().store_revision : 0;
   bool stored = revision != 0;
-  // The write, or an earlier one whose answer was lost, may have taken effect all the same.
-  if (!stored) co_await take_stored(revision, state.token, stored);
+  // This write, or an earlier one whose answer was lost, may have taken effect.
+  if (!stored) co_await read_back_state(revision, state.token, stored);
   if (epoch != dependencies_.lease.epoch() || state_ != holder_state::active) co_return;
   if (revision != 0) state_revision_ = revision;
   if (!stored) {
@@ -244,28 +246,28 @@
     co_return;
   }
   stored_windows_.clear();
-  for (auto const& one : state.unreported) stored_windows_.insert(one->window);
+  for (auto const& window : state.unreported) stored_windows_.insert(window->window);
 }
 
-awaitable<void> usage_reporter::take_stored(kv::revision& revision, std::string const& token,
-                                            bool& stored) {
+awaitable<void> usage_reporter::read_back_state(kv::revision& revision, std::string const& token,
+                                                bool& stored) {
   auto answer = co_await dependencies_.store.list(state_key());
   if (!answer) {
-    log_line(log_level::warning, k_part, "The state of usage could not be stored.",
+    log_line(log_level::warning, k_part, "Failed to store the usage state.",
              {{"epoch", epoch_}, {"error", answer.error().message()}});
     co_return;
   }
-  for (kv::key_value const& one : answer.value().entries) {
-    if (one.key != state_key()) continue;
-    revision = one.mod_revision;
-    auto const state = rpc::decode<rpc::UsageStateT>(one.value);
+  for (kv::key_value const& entry : answer.value().entries) {
+    if (entry.key != state_key()) continue;
+    revision = entry.mod_revision;
+    auto const state = rpc::decode<rpc::UsageStateT>(entry.value);
     stored = state && state->token == token;
   }
 }
 
-bool usage_reporter::is_given_up(std::uint64_t window, time_point now) const {
+bool usage_reporter::is_abandoned(std::uint64_t window, time_point now) const {
   auto const end = static_cast<wall_time>(window + 1) * dependencies_.options.window.count();
-  return ledger_.true_time(now) - end > k_longest_trying.count();
+  return ledger_.true_time(now) - end > k_max_report_age.count();
 }
 
 awaitable<void> usage_reporter::report_stored() {
@@ -274,12 +276,13 @@
     auto const found = ledger_.unreported().find(window);
     if (found == ledger_.unreported().end()) continue;
     time_point const begin = boot_clock::now();
-    // Checked right before each call: what is sent must not come after a successor's first call.
+    // Checked right before each call, since no call may arrive after the first call of the next
+    // holder.
     if (leaving_ || state_ != holder_state::active || !dependencies_.lease.may_order(begin))
       co_return;
-    if (is_given_up(window, begin)) {
+    if (is_abandoned(window, begin)) {
       ++counters_.windows_abandoned;
-      log_line(log_level::error, k_part, "Report of usage given up.",
+      log_line(log_level::error, k_part, "Usage report abandoned.",
                {{"window", window}, {"requests", requests_of(found->second)}});
       ledger_.note_reported(window);
       continue;
@@ -289,7 +292,7 @@
     report_reply const reply = co_await dependencies_.service.report_usage(holder, report);
     auto const spent = std::chrono::duration_cast<milliseconds>(boot_clock::now() - begin);
     bool const accepted = reply == report_reply::accepted;
-    log_line(accepted ? log_level::info : log_level::warning, k_part, "Usage reported.",
+    log_line(accepted ? log_level::info : log_level::warning, k_part, "Usage report sent.",
              {{"window", window},
               {"requests", requests_of(report)},
               {"tenants", report.counts.size()},
@@ -298,7 +301,7 @@
               {"after_ms", spent.count()}});
     if (!accepted) {
       ++counters_.reports_failed;
-      co_await wait_for(k_retry_pause);
+      co_await wait_for(k_retry_delay);
       co_return;
     }
     ++counters_.windows_reported;
@@ -309,9 +312,9 @@
 awaitable<void> usage_reporter::finish(time_point deadline) {
   leaving_ = true;
   auto const left = std::chrono::duration_cast<milliseconds>(deadline - boot_clock::now());
-  while ((telling_ || storing_) && boot_clock::now() < deadline) co_await wait_for(milliseconds(5));
+  while ((sending_ || storing_) && boot_clock::now() < deadline) co_await wait_for(milliseconds(5));
   bool const holds = state_ == holder_state::active && dependencies_.lease.holds(boot_clock::now());
-  if (left > milliseconds(0)) co_await tell_holder(std::min(left, k_tell_timeout));
+  if (left > milliseconds(0)) co_await send_counts(std::min(left, k_send_timeout));
   if (holds && ledger_.is_changed()) co_await store_state();
 }
 
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -1,6 +1,5 @@
-/// @file Brings the counts of all nodes together at the node that holds the duty, and has it report
-/// each window once: a window's counts are stored before they are sent, and only what is stored is
-/// sent, so that whoever follows sends the same.
+/// @file Collects the counts of all nodes at the duty holder, which reports each window once. The
+/// counts of a window are stored before they are sent, so that a new holder sends the same report.
 #pragma once
 
 #include <cstdint>
@@ -39,8 +38,8 @@
   std::uint64_t calls_failed = 0;
 };
 
-/// standby -> loading (the lease was gained) -> active (the stored state is read) -> standby (the
-/// lease is not held any more); loading -> standby.
+/// standby -> loading (lease acquired) -> active (stored state read) -> standby (lease lost);
+/// loading -> standby.
 enum class holder_state { standby, loading, active };
 
 class usage_reporter {
@@ -48,50 +47,50 @@
   explicit usage_reporter(reporter_dependencies dependencies);
 
   void start();
-  /// What a node has counted, this one included.
+  /// Handles the counts sent by a node, which may be this one. Not taken unless this node is the
+  /// active holder.
   rpc::UsageReplyT count(rpc::UsageCallT call);
-  /// Tells the holder what is left, stores what this node holds, before the lease is handed on.
-  /// Ends by `deadline`.
+  /// Sends the remaining counts to the holder and, if this node is the holder, stores its state
+  /// before the lease is handed over. Returns by `deadline`.
   awaitable<void> finish(time_point deadline);
 
   holder_state state() const { return state_; }
   reporter_counters const& counters() const { return counters_; }
   std::uint64_t late() const { return ledger_.late(); }
 
-  /// Key of the stored state.
   static std::string state_key();
 
  private:
-  awaitable<void> tell_loop();
-  bool is_time_to_tell(time_point now) const;
-  /// One call to the holder, if one is known.
-  awaitable<void> tell_holder(milliseconds timeout);
-  awaitable<void> hold_loop();
+  awaitable<void> send_loop();
+  bool is_send_due(time_point now) const;
+  /// Sends new counts to the holder, if there is one.
+  awaitable<void> send_counts(milliseconds timeout);
+  awaitable<void> holder_loop();
   awaitable<void> load();
   void close_windows(time_point now);
   awaitable<void> store_state();
   awaitable<void> write_state();
-  /// Reads whether a write without a good answer took effect.
-  awaitable<void> take_stored(kv::revision& revision, std::string const& token, bool& stored);
+  /// Reads the state back to find out whether a failed write took effect after all.
+  awaitable<void> read_back_state(kv::revision& revision, std::string const& token, bool& stored);
   awaitable<void> report_stored();
-  bool is_given_up(std::uint64_t window, time_point now) const;
+  bool is_abandoned(std::uint64_t window, time_point now) const;
 
   reporter_dependencies dependencies_;
   usage_ledger ledger_;
   std::string incarnation_;
   holder_state state_ = holder_state::standby;
-  /// Epoch of this node's lease that the state was loaded for.
+  /// Lease epoch for which the state was loaded.
   std::uint64_t epoch_ = 0;
   time_point loaded_at_{};
   kv::revision state_revision_ = 0;
   time_point stored_at_{};
-  /// Closed windows that are in the stored state.
+  /// Closed windows that are part of the stored state.
   std::set<std::uint64_t> stored_windows_;
-  /// What the holder of `told_epoch_` has counted of this node.
-  std::uint64_t told_epoch_ = 0;
-  std::uint64_t told_to_ = 0;
-  time_point told_at_{};
-  bool telling_ = false;
+  /// Last epoch in which a holder acknowledged counts, and the sequence it acknowledged.
+  std::uint64_t acknowledged_epoch_ = 0;
+  std::uint64_t acknowledged_sequence_ = 0;
+  time_point last_sent_at_{};
+  bool sending_ = false;
   bool storing_ = false;
   bool leaving_ = false;
   reporter_counters counters_;
--- a/tests/unit/delivery/committer_test.cc
+++ b/tests/unit/delivery/committer_test.cc
@@ -8,7 +8,7 @@
 TEST_GROUP(committer_test) {
   delivery::commit_conditions conditions{"owner", 5, "version", 7, "record", 9};
 
-  static kv::key_value held(std::string const& key, kv::revision revision) {
+  static kv::key_value current(std::string const& key, kv::revision revision) {
     return {key, "", revision, revision, 0};
   }
 
@@ -19,21 +19,21 @@
   }
 };
 
-TEST(committer_test, another_owner_outweighs_all_else) {
-  CHECK(explain({held("owner", 6), held("version", 8), held("record", 10)}) ==
+TEST(committer_test, ownership_loss_takes_precedence) {
+  CHECK(explain({current("owner", 6), current("version", 8), current("record", 10)}) ==
         commit_result::fenced);
-  CHECK(explain({held("version", 7), held("record", 9)}) == commit_result::fenced);
+  CHECK(explain({current("version", 7), current("record", 9)}) == commit_result::fenced);
 }
 
-TEST(committer_test, moved_version_is_told_with_its_entry) {
+TEST(committer_test, changed_version_is_returned_with_its_entry) {
   kv::transaction_answer answer;
-  answer.read = {held("owner", 5), held("version", 8), held("record", 9)};
+  answer.read = {current("owner", 5), current("version", 8), current("record", 9)};
   auto const failure = delivery::explain_failure(conditions, answer);
   CHECK(failure.result == commit_result::version_changed);
   LONGS_EQUAL(8, failure.version_entry->mod_revision);
 }
 
-TEST(committer_test, moved_record_is_read_anew) {
-  CHECK(explain({held("owner", 5), held("version", 7), held("record", 10)}) ==
+TEST(committer_test, changed_record_is_reported) {
+  CHECK(explain({current("owner", 5), current("version", 7), current("record", 10)}) ==
         commit_result::record_changed);
 }
--- a/tests/unit/delivery/delivered_set_test.cc
+++ b/tests/unit/delivery/delivered_set_test.cc
@@ -14,7 +14,7 @@
   }
 };
 
-TEST(delivered_set_test, watermark_rises_over_full_groups_only) {
+TEST(delivered_set_test, watermark_advances_over_full_groups_only) {
   deliver_group(3, 2);
   LONGS_EQUAL(1, set.watermark());
   set.insert({1, 0}, 2);
@@ -43,7 +43,7 @@
   LONGS_EQUAL(5, set.watermark());
 }
 
-TEST(delivered_set_test, survives_its_record) {
+TEST(delivered_set_test, content_survives_encoding) {
   deliver_group(1, 3);
   set.insert({5, 9}, 10);
   deliver_group(7, 2);
--- a/tests/unit/usage/run_counter_test.cc
+++ b/tests/unit/usage/run_counter_test.cc
@@ -1,4 +1,4 @@
-/// @file What one node counts of its tenants' requests.
+/// @file Counting of tenants' requests on one node.
 
 #include "usage/run_counter.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t k_many = 1000;
+constexpr std::size_t k_no_limit = 1000;
 
 }  // namespace
 
@@ -22,43 +22,43 @@
   }
 };
 
-TEST(run_counter_test, only_requests_of_tenants_that_began_are_counted) {
+TEST(run_counter_test, only_started_requests_of_tenants_are_counted) {
   run("first", now);
   run("", now);
   counter.end_attempt(counter.begin_attempt(now), "first", false, now);
-  auto const call = counter.entries_after(0, now + milliseconds(70), k_many);
+  auto const call = counter.entries_after(0, now + milliseconds(70), k_no_limit);
   LONGS_EQUAL(1, call.entries.size());
   STRCMP_EQUAL("first", call.entries[0]->tenant.c_str());
   LONGS_EQUAL(70, call.entries[0]->ago_ms);
   LONGS_EQUAL(1, counter.total());
 }
 
-TEST(run_counter_test, attempt_under_way_holds_back_what_is_complete) {
+TEST(run_counter_test, in_flight_attempt_limits_completeness) {
   auto const open = counter.begin_attempt(now);
   run("first", now + milliseconds(100));
-  auto const before = counter.entries_after(0, now + milliseconds(500), k_many);
+  auto const before = counter.entries_after(0, now + milliseconds(500), k_no_limit);
   LONGS_EQUAL(500, before.complete_ms_ago);
   counter.end_attempt(open, "first", true, now);
-  LONGS_EQUAL(0, counter.entries_after(0, now + milliseconds(500), k_many).complete_ms_ago);
+  LONGS_EQUAL(0, counter.entries_after(0, now + milliseconds(500), k_no_limit).complete_ms_ago);
 }
 
-TEST(run_counter_test, entries_that_do_not_fit_hold_back_what_is_complete) {
+TEST(run_counter_test, omitted_entries_limit_completeness) {
   run("first", now);
   run("first", now + milliseconds(100));
   run("first", now + milliseconds(200));
   auto const call = counter.entries_after(0, now + milliseconds(300), 1);
   LONGS_EQUAL(1, call.entries.size());
   LONGS_EQUAL(200, call.complete_ms_ago);
-  LONGS_EQUAL(2, counter.entries_after(1, now, k_many).entries.size());
+  LONGS_EQUAL(2, counter.entries_after(1, now, k_no_limit).entries.size());
   CHECK(counter.has_entries_after(2));
   CHECK_FALSE(counter.has_entries_after(3));
 }
 
-TEST(run_counter_test, old_entries_are_dropped_and_numbers_go_on) {
+TEST(run_counter_test, dropping_entries_keeps_sequence_numbers) {
   run("first", now);
   run("second", now + seconds(50));
-  counter.forget_before(now + seconds(10));
-  auto const call = counter.entries_after(0, now + seconds(50), k_many);
+  counter.drop_before(now + seconds(10));
+  auto const call = counter.entries_after(0, now + seconds(50), k_no_limit);
   LONGS_EQUAL(1, call.entries.size());
   LONGS_EQUAL(2, call.entries[0]->sequence);
 }
