--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -8,17 +8,17 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// A process that ends closes its connections one after the other, its listener among them.
+/// An ending process closes its connections one by one and its listener among them, so an immediate
+/// probe could still succeed.
 constexpr milliseconds k_settle_time{20};
-/// A server may go on for half a second with a run whose connection was closed; the users' pages
-/// leave it that long.
-constexpr milliseconds k_given_up_time{500};
-/// Between two looks at a server where runs were given up. Shorter than a server takes to start
-/// again (0.3 s in the tests, 2.6 s and more on the users' machines), so that its end is seen.
-constexpr milliseconds k_look_interval{170};
-/// Runs that are remembered for each server while it is looked at; a server has tens of places.
-constexpr std::size_t k_most_given_up = 256;
-/// As long as a request's own connection may take (calls/exchange).
+/// How long a server may continue a run after its connection was closed.
+constexpr milliseconds k_max_abandoned_run_time{500};
+/// Interval between probes of a server with abandoned runs; shorter than the restart of a server,
+/// so that a probe finds it down.
+constexpr milliseconds k_probe_interval{170};
+/// Limit of abandoned runs tracked for each server.
+constexpr std::size_t k_max_abandoned_runs = 256;
+/// Same as the connect timeout of requests (calls/exchange).
 constexpr milliseconds k_connect_timeout{300};
 
 }  // namespace
@@ -27,7 +27,7 @@
   switch (condition) {
     case server_condition::ended:
       return "ended";
-    case server_condition::lives:
+    case server_condition::alive:
       return "lives";
     case server_condition::unknown:
       return "unknown";
@@ -37,14 +37,14 @@
 
 void crash_watch::note_broken(directory::server const& server, fingerprint const& request,
                               time_point sent_at) {
-  auto const [place, fresh] = broken_.try_emplace(server.life());
-  place->second.push_back({request, server.life(), sent_at, boot_clock::now()});
-  if (fresh) spawn(context_, examine(server));
+  auto const [position, inserted] = broken_.try_emplace(server.life());
+  position->second.push_back({request, server.life(), sent_at, boot_clock::now()});
+  if (inserted) spawn(context_, examine(server));
 }
 
 awaitable<void> crash_watch::examine(directory::server server) {
   co_await wait_for(k_settle_time);
-  server_condition const condition = co_await find_condition(server);
+  server_condition const condition = co_await probe(server);
   auto node = broken_.extract(server.life());
   std::vector<crash>& requests = node.mapped();
   log_line(log_level::info, k_part, "Server looked at after connections broke.",
@@ -56,32 +56,32 @@
   if (condition == server_condition::ended) {
     on_crash_(std::move(requests));
   } else {
-    for (crash const& one : requests) leave_undecided(server, one);
+    for (crash const& event : requests) mark_undecided(server, event);
   }
   examined_.notify_all();
 }
 
 void crash_watch::note_abandoned_run(directory::server const& server, fingerprint const& request,
                                      time_point sent_at) {
-  auto const [place, fresh] = given_up_.try_emplace(server.life());
-  std::vector<crash>& runs = place->second;
-  if (runs.size() < k_most_given_up) {
+  auto const [position, inserted] = abandoned_.try_emplace(server.life());
+  std::vector<crash>& runs = position->second;
+  if (runs.size() < k_max_abandoned_runs) {
     runs.push_back({request, server.life(), sent_at, boot_clock::now()});
   }
-  if (fresh) spawn(context_, follow_given_up(server));
+  if (inserted) spawn(context_, monitor_abandoned(server));
 }
 
-awaitable<void> crash_watch::follow_given_up(directory::server server) {
-  std::string const life = server.life();
+awaitable<void> crash_watch::monitor_abandoned(directory::server server) {
+  std::string const incarnation = server.life();
   time_point seen_alive = boot_clock::now();
-  while (!given_up_.at(life).empty()) {
-    co_await wait_for(k_look_interval);
+  while (!abandoned_.at(incarnation).empty()) {
+    co_await wait_for(k_probe_interval);
     time_point const begin = boot_clock::now();
     bool const open = has_open_connection(server, seen_alive);
-    auto const condition = open ? server_condition::lives : co_await find_condition(server);
+    auto const condition = open ? server_condition::alive : co_await probe(server);
     if (condition == server_condition::ended) {
-      std::vector<crash> requests = extract_given_up(life);
-      log_line(log_level::info, k_part, "Server ended after runs there were given up.",
+      std::vector<crash> requests = extract_abandoned(incarnation);
+      log_line(log_level::info, k_part, "Server ended after runs on it were abandoned.",
                {{"server", server.id},
                 {"service", server.service},
                 {"requests", requests.size()},
@@ -89,35 +89,38 @@
       on_crash_(std::move(requests));
       co_return;
     }
-    if (condition == server_condition::lives) seen_alive = begin;
-    std::erase_if(given_up_.at(life), [&](crash const& one) {
-      bool const over = one.ended_at + k_given_up_time <= begin;
-      if (over) leave_undecided(server, one);
+    if (condition == server_condition::alive) seen_alive = begin;
+    std::erase_if(abandoned_.at(incarnation), [&](crash const& event) {
+      bool const over = event.ended_at + k_max_abandoned_run_time <= begin;
+      if (over) mark_undecided(server, event);
       return over;
     });
   }
-  given_up_.erase(life);
+  abandoned_.erase(incarnation);
 }
 
 bool crash_watch::has_open_connection(directory::server const& server,
                                       time_point made_before) const {
-  return known_.has_open_connection && known_.has_open_connection(server, made_before);
+  return dependencies_.has_open_connection &&
+         dependencies_.has_open_connection(server, made_before);
 }
 
-void crash_watch::leave_undecided(directory::server const& server, crash const& run) {
-  if (known_.directory == nullptr || has_open_connection(server, run.ended_at)) return;
+void crash_watch::mark_undecided(directory::server const& server, crash const& run) {
+  if (dependencies_.directory == nullptr || has_open_connection(server, run.ended_at)) return;
   undecided_.add(server, run, boot_clock::now());
-  // The directory may have heard of the next life before this node woke to see the run's end.
+  // The directory may already list the restarted server.
   note_directory_change();
 }
 
 void crash_watch::note_directory_change() {
   undecided_.expire(boot_clock::now());
   if (undecided_.empty()) return;
-  undecided_.drop_planned(
-      [this](directory::server const& one) { return known_.directory->is_leaving(one); });
-  std::vector<crash> crashes = undecided_.extract_replaced(
-      [this](directory::server const& one) { return known_.directory->is_replaced(one); });
+  undecided_.drop_leaving([this](directory::server const& server) {
+    return dependencies_.directory->is_leaving(server);
+  });
+  std::vector<crash> crashes = undecided_.extract_replaced([this](directory::server const& server) {
+    return dependencies_.directory->is_replaced(server);
+  });
   if (crashes.empty()) return;
   log_line(log_level::info, k_part, "Servers have been replaced since their runs ended.",
            {{"server", crashes.front().server},
@@ -126,25 +129,25 @@
   on_crash_(std::move(crashes));
 }
 
-std::vector<crash> crash_watch::extract_given_up(std::string const& life) {
-  auto node = given_up_.extract(life);
+std::vector<crash> crash_watch::extract_abandoned(std::string const& incarnation) {
+  auto node = abandoned_.extract(incarnation);
   return node.empty() ? std::vector<crash>() : std::move(node.mapped());
 }
 
 bool crash_watch::is_examined(fingerprint const& request) const {
   return std::none_of(broken_.begin(), broken_.end(), [&](auto const& entry) {
     return std::any_of(entry.second.begin(), entry.second.end(),
-                       [&](crash const& one) { return one.request == request; });
+                       [&](crash const& event) { return event.request == request; });
   });
 }
 
 awaitable<void> crash_watch::wait_until_examined(fingerprint request) {
-  // Of a popular request new connections may break all the time.
+  // For a popular request, connections may keep breaking, so the wait is bounded.
   time_point const limit = boot_clock::now() + k_settle_time + k_connect_timeout;
   while (!is_examined(request) && boot_clock::now() < limit) co_await examined_.wait_until(limit);
 }
 
-awaitable<crash_watch::server_condition> crash_watch::find_condition(directory::server server) {
+awaitable<crash_watch::server_condition> crash_watch::probe(directory::server server) {
   http::beast::tcp_stream stream(context_);
   stream.expires_after(k_connect_timeout);
   http::beast::error_code malformed;
@@ -153,10 +156,10 @@
   ++connections_opened_;
   auto [failure] = co_await stream.async_connect(remote, k_as_tuple);
   if (!failure) {
-    if (known_.keep_connection) known_.keep_connection(server, std::move(stream));
-    co_return server_condition::lives;
+    if (dependencies_.adopt_connection) dependencies_.adopt_connection(server, std::move(stream));
+    co_return server_condition::alive;
   }
-  // A server that is cut off, or a node that is, shows nothing of its end.
+  // Other failures, such as a network partition, do not show that the server has ended.
   bool const refused = failure == asio::error::connection_refused;
   co_return refused ? server_condition::ended : server_condition::unknown;
 }
--- a/src/quarantine/evidence_keeper.cc
+++ b/src/quarantine/evidence_keeper.cc
@@ -10,40 +10,39 @@
 
 constexpr std::string_view k_part = "quarantine";
 constexpr milliseconds k_write_timeout{400};
-constexpr milliseconds k_write_retry{300};
-/// Between two writes: when many servers end one after the other, evidence changes with each
-/// report. Three collectors then cost 12 of the 400 writes a second that the smallest store takes.
-/// With 100 ms a day of deadly scorers' calls cost 576 calls more (0.010 of its worth).
-constexpr milliseconds k_write_pause{250};
+constexpr milliseconds k_write_retry_delay{300};
+/// Evidence changes with each report when servers end in quick succession; the interval bounds the
+/// load that this puts on the store.
+constexpr milliseconds k_min_write_interval{250};
 
 }  // namespace
 
-void evidence_keeper::keep() {
+void evidence_writer::update() {
   if (writing_ || is_current()) return;
   writing_ = true;
   spawn(dependencies_.context, write_loop());
 }
 
-void evidence_keeper::refresh() {
-  if (written_ && !written_->empty()) keep();
+void evidence_writer::update_existing() {
+  if (written_ && !written_->empty()) update();
 }
 
-bool evidence_keeper::holds(fingerprint const& request, std::size_t servers) const {
+bool evidence_writer::has_stored(fingerprint const& request, std::size_t servers) const {
   if (!written_) return false;
-  return std::any_of(written_->begin(), written_->end(), [&](kept_evidence const& one) {
-    return one.request == request && one.servers.size() >= servers;
+  return std::any_of(written_->begin(), written_->end(), [&](stored_evidence const& evidence) {
+    return evidence.request == request && evidence.servers.size() >= servers;
   });
 }
 
-awaitable<void> evidence_keeper::write_loop() {
+awaitable<void> evidence_writer::write_loop() {
   while (!is_current()) {
     bool const written = co_await write(dependencies_.select());
-    co_await wait_for(written ? k_write_pause : with_jitter(k_write_retry));
+    co_await wait_for(written ? k_min_write_interval : with_jitter(k_write_retry_delay));
   }
   writing_ = false;
 }
 
-awaitable<bool> evidence_keeper::write(std::vector<kept_evidence> requests) {
+awaitable<bool> evidence_writer::write(std::vector<stored_evidence> requests) {
   evidence_record record{dependencies_.self, dependencies_.incarnation, requests, wall_clock_ms()};
   kv::operation change;
   change.key = evidence_record::key_of(dependencies_.node);
--- a/src/quarantine/evidence_keeper.h
+++ b/src/quarantine/evidence_keeper.h
@@ -1,8 +1,7 @@
-/// @file Keeps what a node knows of crashes in the record store, so that it outlasts the node.
+/// @file Stores a node's crash evidence in the record store, so that it survives the node.
 ///
-/// Only requests under which two servers or more have ended are kept: one server that ends has up
-/// to eight requests with it, and a record for each would cost the store 4,800 writes when 600
-/// servers end together. All that a node keeps is one record, written when it changes.
+/// All evidence of a node is one record, written when it changes. A record for each request would
+/// cost thousands of writes when many servers end together, since each runs several requests.
 #pragma once
 
 #include <functional>
@@ -17,39 +16,40 @@
 
 namespace frostline::quarantine {
 
-/// References outlive the keeper.
-struct keeper_dependencies {
+/// References outlive the writer.
+struct evidence_writer_dependencies {
   asio::io_context& context;
   kv::record_store& store;
   std::string node;
-  /// Where this node takes reports.
+  /// Address at which this node accepts crash reports.
   endpoint self;
   std::string incarnation;
-  /// What is to be kept now.
-  std::function<std::vector<kept_evidence>()> select;
+  /// Returns the evidence that should be stored now.
+  std::function<std::vector<stored_evidence>()> select;
 };
 
-class evidence_keeper {
+class evidence_writer {
  public:
-  explicit evidence_keeper(keeper_dependencies dependencies)
+  explicit evidence_writer(evidence_writer_dependencies dependencies)
       : dependencies_(std::move(dependencies)) {}
 
-  /// Writes what is to be kept now, if the record differs; again until that has succeeded.
-  void keep();
-  /// As `keep`, but only if there is a record: something in it may be over.
-  void refresh();
-  /// Whether the record holds this many lives of servers of a request.
-  bool holds(fingerprint const& request, std::size_t servers) const;
+  /// Writes the selected evidence if it differs from the stored record, and retries until the write
+  /// succeeds.
+  void update();
+  /// Like `update`, but only if a record is stored, to remove evidence that no longer applies.
+  void update_existing();
+  /// Returns true if the stored record has at least `servers` server incarnations for the request.
+  bool has_stored(fingerprint const& request, std::size_t servers) const;
   std::uint64_t writes() const { return writes_; }
 
  private:
   bool is_current() const { return written_ && *written_ == dependencies_.select(); }
   awaitable<void> write_loop();
-  awaitable<bool> write(std::vector<kept_evidence> requests);
+  awaitable<bool> write(std::vector<stored_evidence> requests);
 
-  keeper_dependencies dependencies_;
-  /// What the store has taken; nothing before the first write.
-  std::optional<std::vector<kept_evidence>> written_;
+  evidence_writer_dependencies dependencies_;
+  /// Content of the last successful write; empty before the first.
+  std::optional<std::vector<stored_evidence>> written_;
   bool writing_ = false;
   std::uint64_t writes_ = 0;
 };
--- a/src/quarantine/evidence_record.cc
+++ b/src/quarantine/evidence_record.cc
@@ -18,10 +18,10 @@
   record.address = writer.to_string();
   record.incarnation = incarnation;
   record.written_at_ms = written_at_ms;
-  for (kept_evidence const& one : requests) {
+  for (stored_evidence const& evidence : requests) {
     auto kept = std::make_unique<rpc::KeptEvidenceT>();
-    kept->fingerprint = one.request.to_string();
-    kept->servers = one.servers;
+    kept->fingerprint = evidence.request.to_string();
+    kept->servers = evidence.servers;
     record.requests.push_back(std::move(kept));
   }
   return rpc::encode(record);
--- a/src/quarantine/evidence_record.h
+++ b/src/quarantine/evidence_record.h
@@ -1,4 +1,4 @@
-/// @file What a node keeps in the record store of the crashes that it knows of. Pure.
+/// @file The record in which a node stores its crash evidence. Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 
 namespace frostline::quarantine {
 
-/// A request and the lives of servers that ended under it.
-struct kept_evidence {
+/// A request and the server incarnations that ended while running it.
+struct stored_evidence {
   fingerprint request;
   std::vector<std::string> servers;
-  bool operator==(kept_evidence const&) const = default;
+  bool operator==(stored_evidence const&) const = default;
 };
 
 struct evidence_record {
-  /// Where its writer takes reports.
+  /// Address at which the writer accepts crash reports.
   endpoint writer;
-  /// Of the writer's process.
+  /// Incarnation of the writer's process.
   std::string incarnation;
-  std::vector<kept_evidence> requests;
-  /// Unix milliseconds, by the writer's clock.
+  std::vector<stored_evidence> requests;
+  /// Unix time in milliseconds, by the writer's clock.
   std::uint64_t written_at_ms = 0;
 
   static std::string records_prefix();
@@ -36,8 +36,8 @@
   static std::optional<evidence_record> decode(std::string const& value);
 };
 
-/// Key prefix of all that the quarantine keeps in the store: evidence, and requests that are kept
-/// from servers.
+/// Prefix of all keys that the quarantine uses in the store, for evidence and for quarantine
+/// records.
 std::string quarantine_records_prefix();
 
 }  // namespace frostline::quarantine
--- a/src/quarantine/fingerprint.cc
+++ b/src/quarantine/fingerprint.cc
@@ -15,7 +15,7 @@
 };
 using digest_context = std::unique_ptr<EVP_MD_CTX, context_deleter>;
 
-/// The length goes first, so that no part can run into the next.
+/// Hashes the length first, so that bytes can't move from one part to the next.
 void add_part(EVP_MD_CTX* digest, std::string_view part) {
   std::uint64_t const length = part.size();
   EVP_DigestUpdate(digest, &length, sizeof(length));
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -1,4 +1,4 @@
-/// @file What makes two requests the same request: who asks, what for, and the body. Pure.
+/// @file Identifies a request across retries by its caller, target and body. Pure.
 #pragma once
 
 #include <array>
@@ -10,11 +10,11 @@
 
 namespace frostline::quarantine {
 
-/// What a server sees of a request that does not change when its client asks again. The request's
-/// identifier and its deadline change; they are left out.
+/// The parts of a request that stay the same when a client retries it. The request's identifier and
+/// deadline change with each retry and are left out.
 struct request_parts {
-  /// Name of the caller's tenant, or, where no tenants are known, the credentials that the request
-  /// carries; empty if it carries none. Keys of a tenant change, its name does not.
+  /// The caller's tenant name, which survives key rotation. If no tenants are configured, the
+  /// credentials in the request; empty if there are none.
   std::string_view caller;
   std::string_view host;
   std::string_view method;
@@ -23,18 +23,18 @@
   std::string_view body;
 };
 
-/// 128 bits of SHA-256: a client that could make another request collide with its own could have
-/// that one refused, so a hash without that strength would not do.
+/// A 128-bit prefix of SHA-256. The hash must resist collisions: otherwise a client could get
+/// another client's request refused by crafting one with the same fingerprint.
 class fingerprint {
  public:
   static constexpr std::size_t k_bytes = 16;
 
   fingerprint() = default;
   static fingerprint of(request_parts const& parts);
-  /// @return nothing if `text` is not what `to_string` writes.
+  /// @return nothing if `text` does not have the format of `to_string`.
   static std::optional<fingerprint> parse(std::string_view text);
 
-  /// 32 hexadecimal digits; nothing of the request can be read from it.
+  /// 32 hexadecimal digits, which reveal nothing about the request.
   std::string to_string() const;
   auto operator<=>(fingerprint const&) const = default;
 
--- a/src/quarantine/quarantine_list.cc
+++ b/src/quarantine/quarantine_list.cc
@@ -39,19 +39,20 @@
                           decoded->suspected};
 }
 
-time_point quarantine_list::effect_time(bool is_suspicion, time_point now, first_sight seen) {
-  if (!is_suspicion) return now + k_objection_time;
-  return seen == first_sight::at_start ? now + k_suspicion_time : time_point::max();
+time_point quarantine_list::effective_time(bool is_suspicion, time_point now,
+                                           discovery discovered) {
+  if (!is_suspicion) return now + k_effect_delay;
+  return discovered == discovery::at_start ? now + k_suspicion_effect_delay : time_point::max();
 }
 
-bool quarantine_list::put(quarantine_entry entry, time_point now, first_sight seen) {
-  auto const [place, fresh] = entries_.try_emplace(entry.request);
-  known_entry& known = place->second;
-  if (!fresh && entry.revision <= known.record.revision) return false;
-  if (fresh) known.first_seen_at = now;
-  if (fresh) known.effective_at = time_point::max();
-  bool const decides_effect = fresh || known.record.is_suspicion != entry.is_suspicion;
-  time_point const effective_at = effect_time(entry.is_suspicion, now, seen);
+bool quarantine_list::put(quarantine_entry entry, time_point now, discovery discovered) {
+  auto const [position, inserted] = entries_.try_emplace(entry.request);
+  known_entry& known = position->second;
+  if (!inserted && entry.revision <= known.record.revision) return false;
+  if (inserted) known.first_seen_at = now;
+  if (inserted) known.effective_at = time_point::max();
+  bool const decides_effect = inserted || known.record.is_suspicion != entry.is_suspicion;
+  time_point const effective_at = effective_time(entry.is_suspicion, now, discovered);
   if (decides_effect) known.effective_at = std::min(known.effective_at, effective_at);
   known.changed_at = now;
   known.record = std::move(entry);
@@ -71,12 +72,12 @@
 
 std::optional<time_point> quarantine_list::trial_time(known_entry const& known) {
   std::size_t const trials = known.record.trials;
-  if (trials >= std::size(k_trial_pauses)) return std::nullopt;
-  return known.changed_at + k_trial_pauses[trials];
+  if (trials >= std::size(k_trial_delays)) return std::nullopt;
+  return known.changed_at + k_trial_delays[trials];
 }
 
-std::optional<milliseconds> quarantine_list::time_to_trial(fingerprint const& request,
-                                                           time_point now) const {
+std::optional<milliseconds> quarantine_list::time_until_trial(fingerprint const& request,
+                                                              time_point now) const {
   auto const found = entries_.find(request);
   if (found == entries_.end()) return std::nullopt;
   auto const due = trial_time(found->second);
@@ -100,8 +101,8 @@
   return std::chrono::duration_cast<milliseconds>(now - found->second.first_seen_at);
 }
 
-quarantine_entry const* quarantine_list::surplus() const {
-  if (entries_.size() <= k_most_entries) return nullptr;
+quarantine_entry const* quarantine_list::entry_to_evict() const {
+  if (entries_.size() <= k_max_entries) return nullptr;
   auto const oldest =
       std::min_element(entries_.begin(), entries_.end(), [](auto const& left, auto const& right) {
         return left.second.record.revision < right.second.record.revision;
--- a/src/quarantine/quarantine_list.h
+++ b/src/quarantine/quarantine_list.h
@@ -1,13 +1,14 @@
-/// @file The requests that no server gets any more, as the record store says, and when one of them
-/// may be tried again. Pure.
+/// @file The quarantine records known to this node: which requests are refused, and when each may
+/// be tried again. Pure.
 ///
-/// A record takes effect a moment after this node has heard of it, so that a node at which the
-/// request is being answered can take the record back first. It goes when a trial is answered, or
-/// when an operator removes it.
+/// A record takes effect a moment after this node has received it, so that a node where a server
+/// answers the request can remove the record first. A record is removed when a trial is answered or
+/// by an operator.
 ///
-/// A suspicion is a record that is written before the request has ended enough servers, so that
-/// what is known outlasts the end of all nodes. It has no effect at nodes that were there when it
-/// was written: a popular request that stood beside another's crashes was refused for it.
+/// A suspicion is a record written before the request has ended enough servers to be refused, so
+/// that the evidence survives the loss of all nodes. It has no effect on nodes that were running
+/// when it was written, because a popular request may run on crashing servers without being the
+/// cause.
 #pragma once
 
 #include <cstdint>
@@ -22,41 +23,40 @@
 
 namespace frostline::quarantine {
 
-/// What may be done with a request now. `trial`: it may be sent once, by who claims that.
+/// What may be done with a request now. `trial`: it may be sent once, by the node that claims the
+/// trial.
 enum class verdict { allowed, refused, trial };
 
-/// What the store's record says.
+/// Decoded content of a quarantine record.
 struct quarantine_entry {
   fingerprint request;
-  /// Revision at which the record stands.
+  /// Revision of the record in the store.
   kv::revision revision = 0;
-  /// Lives of servers that ended under it.
+  /// Server incarnations that ended while running the request.
   std::vector<std::string> servers;
   std::uint32_t trials = 0;
-  /// Written before the third run, which may yet be answered.
+  /// True if the record was written before the crash threshold was reached.
   bool is_suspicion = false;
 };
 
-/// When this node came to know a record: with the first records that it got, or later.
-enum class first_sight { at_start, later };
+/// When this node learned of a record: with its first snapshot of the store, or later.
+enum class discovery { at_start, later };
 
 class quarantine_list {
  public:
-  /// From a node's first sight of a record to its effect there. A node that answers the request
-  /// hears of the record within some 150 ms and takes it back; with the way of the evidence (about
-  /// 0.3 s) this leaves over a second of the three that are allowed.
-  static constexpr milliseconds k_objection_time{700};
-  /// From the first sight of a suspicion to its effect at a node that found it at its start. The
-  /// node that wrote it withdraws it before (quarantine/service), if it has not ended with all
-  /// others. With the start of a process (0.5 to 1 s) this leaves half a second of three.
-  static constexpr milliseconds k_suspicion_time{1'500};
-  /// From the record's last change to the next trial; each costs a server if the request is what it
-  /// seems. The first comes soon, for a request that only stood beside others' crashes: mostly
-  /// within the three seconds in which retries are not counted. Two, since three retries are
-  /// allowed after that, and one may have been under way unseen.
-  static constexpr milliseconds k_trial_pauses[] = {milliseconds(1'500), milliseconds(300'000)};
-  /// Records that are kept in all; beyond that the one that has not changed for longest goes.
-  static constexpr std::size_t k_most_entries = 256;
+  /// Delay before a record takes effect on a node. It allows nodes where servers answer the request
+  /// to receive the record and remove it.
+  static constexpr milliseconds k_effect_delay{700};
+  /// Delay before a suspicion found at startup takes effect. It exceeds the time after which the
+  /// node that wrote the suspicion withdraws it, if that node is still running
+  /// (quarantine/service).
+  static constexpr milliseconds k_suspicion_effect_delay{1'500};
+  /// Delay of each trial after the record's last change. Every trial of a real poison request costs
+  /// a server, so there are only two. The first comes early to clear requests that merely ran on
+  /// servers that others crashed.
+  static constexpr milliseconds k_trial_delays[] = {milliseconds(1'500), milliseconds(300'000)};
+  /// Limit of stored records; beyond it the least recently changed one is evicted.
+  static constexpr std::size_t k_max_entries = 256;
 
   static std::string records_prefix();
   static std::string key_of(fingerprint const& request);
@@ -64,28 +64,29 @@
   /// @return nothing if the record is malformed.
   static std::optional<quarantine_entry> decode(kv::key_value const& record);
 
-  /// An older revision than the known one changes nothing. @return whether it is news.
-  bool put(quarantine_entry entry, time_point now, first_sight seen = first_sight::later);
-  /// @return whether it was known.
+  /// Ignores a revision that is not newer than the known one.
+  /// @return true if the entry was added or updated.
+  bool put(quarantine_entry entry, time_point now, discovery discovered = discovery::later);
+  /// @return true if there was a record.
   bool remove(fingerprint const& request);
 
   verdict check(fingerprint const& request, time_point now) const;
-  /// How long until the next trial is due; nothing if there is none any more, or no record.
-  std::optional<milliseconds> time_to_trial(fingerprint const& request, time_point now) const;
+  /// Time until the next trial is due; nothing if there is no record or no trial is left.
+  std::optional<milliseconds> time_until_trial(fingerprint const& request, time_point now) const;
   quarantine_entry const* find(fingerprint const& request) const;
-  /// Whether there is a record, and it is more than a suspicion.
+  /// Returns true if there is a record and it is not just a suspicion.
   bool is_proven(fingerprint const& request) const;
-  /// How long this node has known of it.
+  /// Time since this node learned of the record; zero if there is none.
   milliseconds known_for(fingerprint const& request, time_point now) const;
-  /// The one that goes when there are too many; null if there are not.
-  quarantine_entry const* surplus() const;
+  /// The least recently changed record if there are too many, null otherwise.
+  quarantine_entry const* entry_to_evict() const;
   bool empty() const { return entries_.empty(); }
   std::size_t size() const { return entries_.size(); }
 
  private:
   struct known_entry;
   static std::optional<time_point> trial_time(known_entry const& known);
-  static time_point effect_time(bool is_suspicion, time_point now, first_sight seen);
+  static time_point effective_time(bool is_suspicion, time_point now, discovery discovered);
 
   struct known_entry {
     quarantine_entry record;
--- a/src/quarantine/recent_answers.h
+++ b/src/quarantine/recent_answers.h
@@ -1,5 +1,5 @@
-/// @file Requests that servers answered a moment ago: evidence against one may come after its
-/// answer, from another node. Pure.
+/// @file Requests that servers have answered recently, since evidence against a request may arrive
+/// from another node after its answer. Pure.
 #pragma once
 
 #include <cstddef>
@@ -13,11 +13,10 @@
 
 class recent_answers {
  public:
-  /// As long as evidence and a record take to come here, with a margin.
-  static constexpr milliseconds k_memory{3'000};
-  /// Answers that are kept: some 300 a second of one node, ten times what the largest deployment
-  /// measured has.
-  static constexpr std::size_t k_most_entries = 1024;
+  /// Longer than evidence and a record take to reach this node.
+  static constexpr milliseconds k_retention{3'000};
+  /// Bounds memory; exceeds what one node answers within the retention time under typical load.
+  static constexpr std::size_t k_max_entries = 1024;
 
   void note(fingerprint const& request, time_point now);
   bool has(fingerprint const& request, time_point now) const;
@@ -29,7 +28,7 @@
     time_point at{};
   };
 
-  void drop_first();
+  void pop_oldest();
 
   std::deque<answer> order_;
   std::map<fingerprint, time_point> latest_;
--- a/src/quarantine/report_outbox.h
+++ b/src/quarantine/report_outbox.h
@@ -1,4 +1,4 @@
-/// @file Evidence that this node has seen, and how much of it each collector was told. Pure.
+/// @file Crash evidence seen by this node, and how much of it each collector has received. Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,48 +13,48 @@
 
 namespace frostline::quarantine {
 
-/// What one report holds.
 struct crash_report {
   std::vector<crash> evidence;
-  /// Number of the last piece of evidence in it.
-  std::uint64_t up_to = 0;
+  /// Number of the last entry in the report.
+  std::uint64_t last_number = 0;
 };
 
 class report_outbox {
  public:
-  /// Evidence that is kept for collectors that begin later; a node of the largest deployment
-  /// measured has some 90 requests under way.
-  static constexpr std::size_t k_most_entries = 512;
-  static constexpr std::size_t k_most_in_report = 64;
+  /// Bounds the evidence kept for nodes that become collectors later.
+  static constexpr std::size_t k_max_entries = 512;
+  static constexpr std::size_t k_max_report_size = 64;
 
-  void add(crash one);
-  /// A server answered the request: nothing more of it is told.
+  void add(crash event);
+  /// A server answered the request: its evidence is dropped.
   void clear(fingerprint const& request);
 
-  /// Drops evidence of this time and earlier.
+  /// Drops evidence of crashes at `before` or earlier.
   void expire(time_point before);
 
-  /// What this collector was not told yet, the oldest first.
+  /// Evidence that this collector has not acknowledged yet, oldest first.
   crash_report next_report(endpoint const& collector) const;
   bool has_pending(endpoint const& collector) const;
-  /// The collector took a report.
-  /// @param incarnation of its process; another than before knows nothing of earlier reports.
-  void note_told(endpoint const& collector, std::string const& incarnation, std::uint64_t up_to);
+  /// The collector acknowledged a report.
+  /// @param incarnation of the collector's process. If it differs from the previous one, the
+  /// collector was restarted and needs all evidence again.
+  void note_reported(endpoint const& collector, std::string const& incarnation,
+                     std::uint64_t last_number);
   bool empty() const { return entries_.empty(); }
-  /// Forgets collectors that are none any more.
-  void keep_collectors(std::vector<endpoint> const& collectors);
+  /// Drops the state of nodes that are no longer collectors.
+  void retain_collectors(std::vector<endpoint> const& collectors);
 
  private:
   struct numbered_crash {
     std::uint64_t number = 0;
-    crash what;
+    crash event;
   };
   struct collector_state {
     std::string incarnation;
-    std::uint64_t told_to = 0;
+    std::uint64_t reported_up_to = 0;
   };
 
-  std::uint64_t told_to(endpoint const& collector) const;
+  std::uint64_t reported_up_to(endpoint const& collector) const;
 
   std::deque<numbered_crash> entries_;
   std::map<endpoint, collector_state> collectors_;
--- a/src/quarantine/service.cc
+++ b/src/quarantine/service.cc
@@ -10,30 +10,30 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// Evidence of the same crashes comes from several nodes within that time, and shows who of those
-/// that ran there explains them all. Each collector leaves as much again to the one before it: a
-/// write and its spreading take less.
-constexpr milliseconds k_turn{150};
-/// So long after the last crash a node refuses by its own evidence, while records do not come here:
-/// it lets the request through once in that time.
-constexpr milliseconds k_local_refusal{5'000};
+/// Time for evidence of the same crashes to arrive from several nodes, which shows the request that
+/// explains them all. Each collector waits this much longer than the previous one, which is enough
+/// for a write to propagate.
+constexpr milliseconds k_collector_stagger{150};
+/// How long after the last crash a node refuses a request by its own evidence while it receives no
+/// records. One attempt is let through afterwards.
+constexpr milliseconds k_local_refusal_time{5'000};
 constexpr milliseconds k_write_timeout{400};
-/// Servers that end one after the other under runs of this node before the request is recorded.
-constexpr std::uint32_t k_recorded_crashes = 2;
-/// A suspicion stands for that long after it was written. A server that ends under the third run
-/// mostly does so at once, and what collectors make of that is in the store 0.5 s later. It is gone
-/// before it has effect at a node that found it at its start, with two tries to remove it.
-constexpr milliseconds k_suspicion_hold{800};
-/// Suspicions that are written at the same time. A wide crash at 600 servers must not bring more
-/// writes than the store takes; the others run without.
-constexpr std::size_t k_most_early_writes = 16;
-/// Nodes take a record back at different times within that, well within the time to object.
-constexpr milliseconds k_take_back_spread{300};
-constexpr milliseconds k_write_retry{300};
-/// Evidence without an answer to the request is kept for that long, on the node that saw it and on
-/// those that collect: a client that comes again does so within minutes, and crashes that lie
-/// further apart say little about a request that other nodes have seen answered between them.
-constexpr milliseconds k_memory{600'000};
+/// Servers that end in sequence under runs of this node before a suspicion is recorded.
+constexpr std::uint32_t k_suspicion_threshold = 2;
+/// How long a suspicion stands: longer than the third run takes to be confirmed by the collectors,
+/// and shorter than quarantine_list::k_suspicion_effect_delay, with time for a retry of the
+/// removal.
+constexpr milliseconds k_suspicion_lifetime{800};
+/// Limit of concurrent suspicion writes, to protect the store when many servers crash at once.
+/// Beyond it, requests run without a suspicion.
+constexpr std::size_t k_max_suspicion_writes = 16;
+/// Nodes that answered a request remove its record at random times within this spread, well before
+/// the record takes effect.
+constexpr milliseconds k_revocation_spread{300};
+constexpr milliseconds k_write_retry_delay{300};
+/// How long evidence is kept. Clients retry within minutes, and crashes further apart are weak
+/// evidence, since other nodes may have seen an answer in between.
+constexpr milliseconds k_retention{600'000};
 
 }  // namespace
 
@@ -42,36 +42,36 @@
       incarnation_(make_unique_token()),
       crash_watch_(dependencies_.context, dependencies_.servers,
                    [this](std::vector<crash> crashes) { note_crashes(crashes); }),
-      keeper_({dependencies_.context, dependencies_.store, dependencies_.node, dependencies_.self,
-               incarnation_, [this] { return select_evidence(); }}),
-      evidence_(dependencies_.context) {}
+      evidence_writer_({dependencies_.context, dependencies_.store, dependencies_.node,
+                        dependencies_.self, incarnation_, [this] { return select_evidence(); }}),
+      evidence_added_(dependencies_.context) {}
 
 verdict service::check(fingerprint const& request, time_point now) const {
   verdict const listed = list_.check(request, now);
   if (listed != verdict::allowed) return listed;
-  return refuses_alone(request, now) ? verdict::refused : verdict::allowed;
+  return refuses_locally(request, now) ? verdict::refused : verdict::allowed;
 }
 
-bool service::refuses_alone(fingerprint const& request, time_point now) const {
-  suspicion const* const seen = seen_here_.find(request);
-  if (seen == nullptr || !seen->enough_at) return false;
-  // Collectors know better, and a record is in force 0.3 to 0.5 s after this node's own refusal
-  // would be: a request that only stood beside the one that ends servers got 39 refusals for that.
+bool service::refuses_locally(fingerprint const& request, time_point now) const {
+  crash_history const* const seen = seen_here_.find(request);
+  if (seen == nullptr || !seen->threshold_reached_at) return false;
+  // Collectors have more evidence, and their record arrives soon. One node alone may blame a
+  // request that merely ran on the same servers.
   if (dependencies_.are_records_current()) return false;
-  // It may still be answered, as soon as servers are back.
-  bool const undisputed = now >= *seen->enough_at + quarantine_list::k_objection_time;
-  return undisputed && now < seen->last_at + k_local_refusal;
+  // It may still be answered once servers have restarted.
+  bool const undisputed = now >= *seen->threshold_reached_at + quarantine_list::k_effect_delay;
+  return undisputed && now < seen->last_crash_at + k_local_refusal_time;
 }
 
 std::optional<milliseconds> service::time_until_retry(fingerprint const& request,
                                                       time_point now) const {
   bool const listed = list_.check(request, now) != verdict::allowed;
-  if (listed) return list_.time_to_trial(request, now);
-  return refuses_alone(request, now) ? std::optional(k_local_refusal) : std::nullopt;
+  if (listed) return list_.time_until_trial(request, now);
+  return refuses_locally(request, now) ? std::optional(k_local_refusal_time) : std::nullopt;
 }
 
 std::size_t service::crashes_seen(fingerprint const& request) const {
-  suspicion const* const seen = seen_here_.find(request);
+  crash_history const* const seen = seen_here_.find(request);
   return seen == nullptr ? 0 : seen->servers.size();
 }
 
@@ -87,19 +87,19 @@
 }
 
 void service::note_crashes(std::vector<crash> const& crashes) {
-  for (crash const& one : crashes) {
+  for (crash const& event : crashes) {
     ++counters_.crashes;
-    suspicion const& seen = seen_here_.note(one);
+    crash_history const& seen = seen_here_.note(event);
     log_line(log_level::info, k_part, "Server ended under a request.",
-             {{"fingerprint", one.request.to_string()},
-              {"server", one.server},
+             {{"fingerprint", event.request.to_string()},
+              {"server", event.server},
               {"beside", crashes.size() - 1},
               {"crashes_seen_here", seen.servers.size()},
-              {"in_turn", seen.in_turn}});
-    outbox_.add(one);
-    collect(one);
+              {"in_turn", seen.sequential_crashes}});
+    outbox_.add(event);
+    collect(event);
   }
-  evidence_.notify_all();
+  evidence_added_.notify_all();
 }
 
 bool service::is_explained_by_others(fingerprint const& request) const {
@@ -108,17 +108,17 @@
 }
 
 bool service::is_proven(fingerprint const& request) const {
-  suspicion const* const known = collected_.find(request);
+  crash_history const* const known = collected_.find(request);
   if (known == nullptr || known->servers.size() < k_crash_threshold) return false;
   return !is_explained_by_others(request);
 }
 
-void service::collect(crash const& one) {
-  keep_evidence(collected_.note(one));
-  start_to_write(one.request);
+void service::collect(crash const& event) {
+  store_evidence(collected_.note(event));
+  start_write(event.request);
 }
 
-void service::start_to_write(fingerprint const& request) {
+void service::start_write(fingerprint const& request) {
   bool const settled = list_.is_proven(request) || writing_.contains(request);
   if (settled || !is_proven(request)) return;
   writing_.insert(request);
@@ -126,48 +126,48 @@
 }
 
 bool service::must_be_recorded(fingerprint const& request) const {
-  suspicion const* const seen = seen_here_.find(request);
-  if (seen == nullptr || seen->in_turn < k_recorded_crashes) return false;
-  bool const settled = list_.find(request) != nullptr || recorded_early_.contains(request) ||
-                       suspicions_being_written_ >= k_most_early_writes;
+  crash_history const* const seen = seen_here_.find(request);
+  if (seen == nullptr || seen->sequential_crashes < k_suspicion_threshold) return false;
+  bool const settled = list_.find(request) != nullptr || recorded_suspicions_.contains(request) ||
+                       suspicion_writes_in_flight_ >= k_max_suspicion_writes;
   return !settled && collected_.find(request) != nullptr && !is_explained_by_others(request);
 }
 
 awaitable<void> service::record_before_next_run(fingerprint request) {
   co_await crash_watch_.wait_until_examined(request);
   if (!must_be_recorded(request)) co_return;
-  recorded_early_.insert(request);
-  ++suspicions_being_written_;
+  recorded_suspicions_.insert(request);
+  ++suspicion_writes_in_flight_;
   co_await try_to_write(request, true);
-  --suspicions_being_written_;
+  --suspicion_writes_in_flight_;
   spawn(dependencies_.context, withdraw_suspicion(request));
 }
 
 awaitable<void> service::withdraw_suspicion(fingerprint request) {
-  co_await wait_for(k_suspicion_hold);
-  co_await remove_while(request, [](quarantine_entry const& one) { return one.is_suspicion; });
-  recorded_early_.erase(request);
+  co_await wait_for(k_suspicion_lifetime);
+  co_await remove_while(request, [](quarantine_entry const& entry) { return entry.is_suspicion; });
+  recorded_suspicions_.erase(request);
 }
 
 std::size_t service::own_rank() const {
   auto const collectors = dependencies_.find_collectors();
-  auto const place = std::find(collectors.begin(), collectors.end(), dependencies_.self);
-  return static_cast<std::size_t>(place - collectors.begin());
+  auto const position = std::find(collectors.begin(), collectors.end(), dependencies_.self);
+  return static_cast<std::size_t>(position - collectors.begin());
 }
 
-bool service::leaves_it_to_collectors() const {
-  // One node's evidence does not show which of the requests explains the crashes.
+bool service::defers_to_collectors() const {
+  // One node's evidence does not show which request explains the crashes.
   auto const collectors = dependencies_.find_collectors();
   if (own_rank() < collectors.size()) return false;
   return std::any_of(collectors.begin(), collectors.end(),
-                     [this](endpoint const& one) { return !outbox_.has_pending(one); });
+                     [this](endpoint const& collector) { return !outbox_.has_pending(collector); });
 }
 
 awaitable<void> service::write_record(fingerprint request) {
-  co_await wait_for(k_turn * static_cast<int>(own_rank() + 1));
-  while (is_proven(request) && !list_.is_proven(request) && !leaves_it_to_collectors()) {
+  co_await wait_for(k_collector_stagger * static_cast<int>(own_rank() + 1));
+  while (is_proven(request) && !list_.is_proven(request) && !defers_to_collectors()) {
     co_await try_to_write(request, false);
-    if (!list_.is_proven(request)) co_await wait_for(with_jitter(k_write_retry));
+    if (!list_.is_proven(request)) co_await wait_for(with_jitter(k_write_retry_delay));
   }
   writing_.erase(request);
 }
@@ -189,8 +189,8 @@
   log_line(log_level::warning, k_part,
            is_suspicion ? "Suspicion of a request recorded." : "Request put under quarantine.",
            {{"fingerprint", request.to_string()}, {"servers", servers}});
-  quarantine_entry const* const surplus = list_.surplus();
-  if (surplus != nullptr) start_to_take_back(surplus->request);
+  quarantine_entry const* const entry_to_evict = list_.entry_to_evict();
+  if (entry_to_evict != nullptr) start_revocation(entry_to_evict->request);
 }
 
 awaitable<bool> service::apply(quarantine_entry entry, kv::operation change) {
@@ -200,19 +200,19 @@
   transaction.on_success.push_back(std::move(change));
   auto const outcome = co_await dependencies_.store.apply(std::move(transaction), k_write_timeout);
   if (!outcome) {
-    log_line(log_level::info, k_part, "Record was not changed, as far as is known.",
+    log_line(log_level::info, k_part, "Record change failed or its outcome is unknown.",
              {{"fingerprint", entry.request.to_string()}, {"error", outcome.error().message()}});
     co_return false;
   }
   if (!outcome.value().succeeded) {
     auto const& read = outcome.value().read;
-    for (kv::key_value const& record : read) take(record, first_sight::later);
-    // Nobody tells the end of a record of which the feed has never heard.
+    for (kv::key_value const& record : read) ingest(record, discovery::later);
+    // The feed reports no removal of a record that it has never delivered.
     if (read.empty()) forget(entry.request, "the store has no such record");
     co_return false;
   }
   if (removes) {
-    forget(entry.request, "taken back here");
+    forget(entry.request, "removed by this node");
     co_return true;
   }
   entry.revision = outcome.value().store_revision;
@@ -232,7 +232,7 @@
   std::uint32_t const number = entry.trials;
   bool const claimed = co_await apply(std::move(entry), std::move(put));
   claiming_.erase(request);
-  log_line(log_level::info, k_part, "Trial asked for.",
+  log_line(log_level::info, k_part, "Trial requested.",
            {{"fingerprint", request.to_string()},
             {"number", number},
             {"granted", claimed ? "yes" : "no"}});
@@ -244,21 +244,21 @@
   seen_here_.clear(request);
   collected_.clear(request);
   outbox_.clear(request);
-  answered_here_.note(request, boot_clock::now());
-  if (list_.find(request) != nullptr) start_to_take_back(request);
+  recent_answers_.note(request, boot_clock::now());
+  if (list_.find(request) != nullptr) start_revocation(request);
 }
 
-void service::start_to_take_back(fingerprint const& request) {
-  if (!taking_back_.insert(request).second) return;
-  spawn(dependencies_.context, take_back(request));
+void service::start_revocation(fingerprint const& request) {
+  if (!revoking_.insert(request).second) return;
+  spawn(dependencies_.context, revoke(request));
 }
 
-awaitable<void> service::take_back(fingerprint request) {
-  // Of many nodes that have answered it, most hear that one of them was faster.
-  co_await wait_for(with_jitter(2 * k_take_back_spread) - k_take_back_spread);
+awaitable<void> service::revoke(fingerprint request) {
+  // Most nodes that answered the request learn of the removal by another node in this time.
+  co_await wait_for(with_jitter(2 * k_revocation_spread) - k_revocation_spread);
   bool const removed = co_await remove_while(request, [](quarantine_entry const&) { return true; });
   if (removed) ++counters_.revoked;
-  taking_back_.erase(request);
+  revoking_.erase(request);
 }
 
 awaitable<bool> service::remove_while(fingerprint request,
@@ -269,7 +269,7 @@
     remove.kind = kv::operation_kind::remove;
     remove.key = quarantine_list::key_of(request);
     if (co_await apply(*known, std::move(remove))) co_return true;
-    co_await wait_for(with_jitter(k_write_retry));
+    co_await wait_for(with_jitter(k_write_retry_delay));
     known = list_.find(request);
   }
   co_return false;
@@ -284,32 +284,32 @@
             {"revision", entry.revision}});
 }
 
-void service::take(kv::key_value const& record, first_sight seen) {
+void service::ingest(kv::key_value const& record, discovery discovered) {
   if (record.key.starts_with(evidence_record::records_prefix())) {
-    take_evidence(record, seen);
+    ingest_evidence(record, discovered);
     return;
   }
   auto entry = quarantine_list::decode(record);
   if (!entry) {
-    log_line(log_level::error, k_part, "Record is malformed; it has no effect.",
+    log_line(log_level::error, k_part, "Quarantine record is malformed and is ignored.",
              {{"key", record.key}, {"revision", record.mod_revision}});
     return;
   }
   time_point const now = boot_clock::now();
-  if (!list_.put(*entry, now, seen)) return;
+  if (!list_.put(*entry, now, discovered)) return;
   log_record(*entry);
-  if (answered_here_.has(entry->request, now)) {
-    start_to_take_back(entry->request);
+  if (recent_answers_.has(entry->request, now)) {
+    start_revocation(entry->request);
     return;
   }
   if (!entry->is_suspicion) return;
-  // The node that saw them may be gone with its evidence: one more crash must be enough.
+  // The node that wrote the suspicion may be gone, so its evidence counts here too.
   for (std::string const& server : entry->servers) collect({entry->request, server, now, now});
 }
 
 void service::forget(fingerprint const& request, std::string_view cause) {
   quarantine_entry const* const known = list_.find(request);
-  // A withdrawn suspicion was not disproved: what is known against the request stays known.
+  // A withdrawn suspicion was not disproved, so the evidence is kept.
   bool const withdrawn = known != nullptr && known->is_suspicion;
   if (!withdrawn) {
     seen_here_.clear(request);
@@ -324,13 +324,13 @@
 kv::follower_callbacks service::listener() {
   kv::follower_callbacks callbacks;
   callbacks.snapshot = [this](kv::range_answer const& all) {
-    first_sight const seen = has_had_records_ ? first_sight::later : first_sight::at_start;
-    has_had_records_ = true;
-    for (kv::key_value const& record : all.entries) take(record, seen);
+    discovery const discovered = received_snapshot_ ? discovery::later : discovery::at_start;
+    received_snapshot_ = true;
+    for (kv::key_value const& record : all.entries) ingest(record, discovered);
   };
   callbacks.event = [this](kv::watch_event const& event) {
     if (!event.deleted) {
-      take(event.entry, first_sight::later);
+      ingest(event.entry, discovery::later);
       return;
     }
     std::string_view const key = event.entry.key;
@@ -343,12 +343,12 @@
 
 void service::clean(time_point now) {
   crash_watch_.clean(now);
-  seen_here_.expire(now - k_memory);
-  collected_.expire(now - k_memory);
-  outbox_.expire(now - k_memory);
-  keeper_.refresh();
-  judge_in_time(now);
-  std::erase_if(recorded_early_,
+  seen_here_.expire(now - k_retention);
+  collected_.expire(now - k_retention);
+  outbox_.expire(now - k_retention);
+  evidence_writer_.update_existing();
+  resolve_previous_evidence_if_due(now);
+  std::erase_if(recorded_suspicions_,
                 [this](fingerprint const& request) { return seen_here_.find(request) == nullptr; });
 }
 
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -1,18 +1,19 @@
-/// @file Keeps requests that end the servers that run them from reaching more servers.
+/// @file Detects poison requests, which crash the servers that run them, and keeps them from
+/// reaching more servers.
 ///
-/// Each node notes under which of its requests servers ended, and tells the collectors, the relays
-/// of some zones. Once three servers have ended under a request and none has answered it, a
-/// collector writes a record to the record store, which the relays spread like any other. A node
-/// that knows the record refuses the request, except for a trial now and then; a server's answer to
-/// it, wherever it is seen, takes the record back.
+/// Each node records which of its requests were running on a server when it ended, and reports them
+/// to the collectors, which are the relays of some zones. Once a request that was never answered
+/// has ended three servers, a collector writes a record to the record store, which the relays
+/// distribute. Nodes that know the record refuse the request, except for a few trials. If a server
+/// answers the request on any node, that node removes the record.
 ///
-/// A node under whose calls two servers have ended in turn records a suspicion before the third
-/// run, so that what is known outlasts the end of all nodes with that run. It withdraws it when the
-/// third run has proved nothing.
+/// A node whose runs of a request have ended two servers in sequence records a suspicion before the
+/// third run, so that the evidence survives even if that run takes down all nodes. It withdraws the
+/// suspicion if the third run does not confirm it.
 ///
-/// Of requests under which two servers have ended, whoever saw or collected it, collectors keep
-/// evidence in the store. Nodes that find it at their start, with nobody left who remembers it, put
-/// them under quarantine: a third server may have ended with those who knew.
+/// Collectors also store evidence of requests that have ended two servers. If a starting node finds
+/// evidence whose writer no longer runs, the request is quarantined, because the nodes that knew of
+/// a third crash may be gone.
 #pragma once
 
 #include <cstdint>
@@ -47,23 +48,22 @@
   kv::record_store& store;
   http::client& transport;
   std::string node;
-  /// Where other nodes reach this one.
+  /// Address at which other nodes reach this one.
   endpoint self;
-  /// Nodes that bring evidence together, in the order in which they act. Few, and the same at all
-  /// nodes.
+  /// The few nodes that collect evidence, in the order in which they act; the same on all nodes.
   std::function<std::vector<endpoint>()> find_collectors;
-  /// Whether changes of the store's records come to this node without delay.
+  /// Returns true if changes of the store's records reach this node without delay.
   std::function<bool()> are_records_current;
   crash_watch_dependencies servers = {};
 };
 
-/// What the service counts, since the process began.
+/// Totals since the process began.
 struct quarantine_counters {
-  /// Requests of this node under which a server ended.
+  /// Requests of this node that were running on a server when it ended.
   std::uint64_t crashes = 0;
   std::uint64_t refused = 0;
   std::uint64_t trials = 0;
-  /// Records that this node wrote, and took back because the request was answered.
+  /// Records written by this node, and records it removed because the request was answered.
   std::uint64_t records_written = 0;
   std::uint64_t revoked = 0;
 };
@@ -73,45 +73,46 @@
   explicit service(service_dependencies dependencies);
 
   void start() { spawn(dependencies_.context, report_loop()); }
-  /// To be told of the store's records.
+  /// Callbacks that receive the store's records.
   kv::follower_callbacks listener();
-  /// Registers what other nodes call.
+  /// Registers the methods that other nodes call.
   void add_methods(rpc::dispatcher& methods);
-  /// Forgets what was seen long ago.
+  /// Drops expired evidence.
   void clean(time_point now);
 
-  /// Whether any request has to be looked at; mostly none, which saves their fingerprints.
-  bool has_suspects() const { return !seen_here_.empty() || !list_.empty() || !former_.empty(); }
-  /// Whether a request may be sent to a server now. With `trial`, only if `claim_trial` succeeds.
+  /// Returns false if no request is suspected, so that callers need not compute fingerprints.
+  bool has_suspects() const {
+    return !seen_here_.empty() || !list_.empty() || !unresolved_.empty();
+  }
+  /// Returns whether a request may be sent to a server now; `trial` requires `claim_trial` first.
   verdict check(fingerprint const& request, time_point now) const;
-  /// Whether work that no caller waits for, as of a sample, should leave its next run for a moment:
-  /// what is known of it is being stored, or three servers have ended under it here and the record
-  /// is to come (one sample ended six engines where three would have done), or it ended servers
-  /// under nodes that are gone and is being judged.
+  /// Returns true if a run that no caller waits for, such as that of a sample, should be postponed
+  /// for a moment: because evidence is being stored, because the request has reached the crash
+  /// threshold and its record is not in effect yet, or because evidence from previous nodes is
+  /// being resolved.
   bool should_wait(fingerprint const& request, time_point now);
-  /// When a request that is refused now may be tried again; nothing if that is not known.
+  /// Time until a refused request may be tried again; nothing if it is unknown.
   std::optional<milliseconds> time_until_retry(fingerprint const& request, time_point now) const;
-  /// Asks for the right to send a request once, among all nodes.
+  /// Claims a trial, which only one node may run. @return true if this node may run it.
   awaitable<bool> claim_trial(fingerprint request);
-  /// A request was refused for its verdict.
+  /// Counts and logs a request that was refused after `check`.
   void note_refused(fingerprint const& request);
-  /// How many servers ended under a request, as this node has seen.
+  /// Number of servers that this node has seen end while running the request.
   std::size_t crashes_seen(fingerprint const& request) const;
 
-  /// Whether a request has to be recorded before it runs again here: two servers have ended under
-  /// it, one after the other, and the third run would be known to this node's memory alone. If all
-  /// nodes ended with it, the request would end three servers more, and what comes until the next
-  /// record is in force (9 in a soak).
+  /// Returns true if a suspicion must be recorded before the request runs here again: it has ended
+  /// two servers in sequence, and only this node knows. If the next run took down all nodes, the
+  /// evidence would be lost.
   bool must_be_recorded(fingerprint const& request) const;
-  /// Waits for what is still looked at, and records the suspicion if it has to be; tried once, and
-  /// withdrawn later unless it was proved.
+  /// Waits for pending probes and then records a suspicion if it is still required. The write is
+  /// tried once; the suspicion is withdrawn later unless it was confirmed.
   awaitable<void> record_before_next_run(fingerprint request);
-  /// A request's connection to a server ended without a whole answer.
+  /// The connection of a request to a server broke before the response was complete.
   void note_broken(directory::server const& server, fingerprint const& request,
                    time_point sent_at) {
     crash_watch_.note_broken(server, request, sent_at);
   }
-  /// This side gave up a request's run while the server may still be at work on it.
+  /// This node abandoned a run of the request while the server may still be working on it.
   void note_abandoned_run(directory::server const& server, fingerprint const& request,
                           time_point sent_at) {
     crash_watch_.note_abandoned_run(server, request, sent_at);
@@ -125,87 +126,86 @@
 
  private:
   void note_crashes(std::vector<crash> const& crashes);
-  /// Evidence of this node or another one.
-  void collect(crash const& one);
+  /// Adds evidence seen by this node or reported by another one.
+  void collect(crash const& event);
   bool is_explained_by_others(fingerprint const& request) const;
-  /// Whether enough servers have ended under a request, and none of the others explains them.
+  /// Returns true if the request has reached the crash threshold and no other request explains its
+  /// crashes.
   bool is_proven(fingerprint const& request) const;
-  /// Whether a collector knows what this node knows, and this node is none.
-  bool leaves_it_to_collectors() const;
-  /// Whether this node has seen enough itself to refuse the request without a record.
-  bool refuses_alone(fingerprint const& request, time_point now) const;
-  /// Starts to write the record if the evidence is enough.
-  void start_to_write(fingerprint const& request);
-  /// Writes the record, after the collectors before this one have had time to.
+  /// Returns true if this node is not a collector and some collector has all of its evidence.
+  bool defers_to_collectors() const;
+  /// Returns true if this node's own evidence is enough to refuse the request without a record.
+  bool refuses_locally(fingerprint const& request, time_point now) const;
+  /// Starts to write a record if the evidence is sufficient.
+  void start_write(fingerprint const& request);
+  /// Writes the record, after a delay in which higher-ranked collectors can do so.
   awaitable<void> write_record(fingerprint request);
   awaitable<void> try_to_write(fingerprint request, bool is_suspicion);
-  awaitable<void> take_back(fingerprint request);
+  awaitable<void> revoke(fingerprint request);
   awaitable<void> withdraw_suspicion(fingerprint request);
-  /// Removes the record, however often that takes, as long as the condition holds.
-  /// @return whether it was removed here.
+  /// Removes the record while the condition holds, and retries until that succeeds.
+  /// @return true if this node removed it.
   awaitable<bool> remove_while(fingerprint request,
                                std::function<bool(quarantine_entry const&)> condition);
-  /// Applies a change of one record. @return whether it took effect for certain.
+  /// Applies a conditional change to one record. @return true if it certainly took effect.
   awaitable<bool> apply(quarantine_entry entry, kv::operation change);
   std::size_t own_rank() const;
 
   awaitable<void> report_loop();
   awaitable<void> report_to(endpoint collector);
-  rpc::CrashReportReplyT take_report(rpc::CrashReportCallT const& call);
+  rpc::CrashReportReplyT handle_report(rpc::CrashReportCallT const& call);
 
-  void take(kv::key_value const& record, first_sight seen);
-  void take_evidence(kv::key_value const& record, first_sight seen);
-  std::vector<kept_evidence> select_evidence() const;
-  std::size_t least_kept_crashes() const;
-  /// Has evidence stored, at collectors, that is enough to be.
-  void keep_evidence(suspicion const& known);
+  void ingest(kv::key_value const& record, discovery discovered);
+  void ingest_evidence(kv::key_value const& record, discovery discovered);
+  std::vector<stored_evidence> select_evidence() const;
+  std::size_t min_stored_crashes() const;
+  /// Stores evidence if it is sufficient and this node is responsible for storing it.
+  void store_evidence(crash_history const& known);
   bool is_collector() const { return own_rank() < dependencies_.find_collectors().size(); }
-  /// Has the first collector judge what was found at the start.
-  void judge_in_time(time_point now);
-  /// Puts requests under quarantine of which nobody remembers what the store tells.
-  awaitable<void> judge_former_evidence();
-  /// Whether the process that wrote the record is there.
-  awaitable<bool> is_remembered(evidence_record const& record);
-  /// Removes records whose writers are gone; what they hold is kept by this node.
-  awaitable<void> remove_former_records();
+  /// Starts to resolve the evidence found at startup, if this node is the first collector.
+  void resolve_previous_evidence_if_due(time_point now);
+  /// Quarantines requests whose stored evidence was written by processes that no longer run.
+  awaitable<void> resolve_previous_evidence();
+  /// Returns true if the process that wrote the record is still running.
+  awaitable<bool> is_writer_alive(evidence_record const& record);
+  /// Removes records whose writers are gone; this node has taken over their evidence.
+  awaitable<void> remove_previous_records();
   void log_record(quarantine_entry const& entry) const;
-  void start_to_take_back(fingerprint const& request);
+  void start_revocation(fingerprint const& request);
   void forget(fingerprint const& request, std::string_view cause);
 
   service_dependencies dependencies_;
   std::string incarnation_;
   crash_watch crash_watch_;
-  /// What this node has seen itself.
+  /// Crashes seen by this node.
   suspect_table seen_here_;
-  /// What all nodes have told this one, its own evidence included.
+  /// Crashes reported by all nodes, including this one.
   suspect_table collected_;
   quarantine_list list_;
-  /// While there is something to look at.
-  recent_answers answered_here_;
+  recent_answers recent_answers_;
   report_outbox outbox_;
-  evidence_keeper keeper_;
-  /// Revisions of the evidence of others that was taken over.
-  std::map<std::string, kv::revision> evidence_taken_;
-  struct former_record {
+  evidence_writer evidence_writer_;
+  /// Last revision taken over of each evidence record.
+  std::map<std::string, kv::revision> ingested_revisions_;
+  struct previous_record {
     std::string key;
     kv::revision revision = 0;
-    evidence_record what;
+    evidence_record evidence;
   };
-  /// Evidence that the store held when this node started, until it is judged.
-  std::vector<former_record> found_at_start_;
-  /// Requests in it, and until when they wait to be judged.
-  std::set<fingerprint> former_;
-  time_point former_until_ = time_point::min();
-  bool judging_ = false;
-  async_condition evidence_;
-  /// Requests whose records are being records_written or taken back, or whose trial is being
-  /// claimed.
+  /// Evidence found in the store at startup, until it is resolved.
+  std::vector<previous_record> previous_records_;
+  /// Requests in that evidence, and until when their runs wait for it to be resolved.
+  std::set<fingerprint> unresolved_;
+  time_point unresolved_until_ = time_point::min();
+  bool resolving_ = false;
+  async_condition evidence_added_;
+  /// Requests whose records are being written.
   std::set<fingerprint> writing_;
-  /// Requests of which this node has tried to record a suspicion.
-  std::set<fingerprint> recorded_early_;
-  std::size_t suspicions_being_written_ = 0;
-  bool has_had_records_ = false;
-  std::set<fingerprint> taking_back_;
+  /// Requests for which this node has tried to record a suspicion.
+  std::set<fingerprint> recorded_suspicions_;
+  std::size_t suspicion_writes_in_flight_ = 0;
+  bool received_snapshot_ = false;
+  std::set<fingerprint> revoking_;
   std::set<fingerprint> claiming_;
   std::set<endpoint> reporting_to_;
   quarantine_counters counters_;
--- a/src/quarantine/service_evidence.cc
+++ b/src/quarantine/service_evidence.cc
@@ -1,4 +1,5 @@
-/// @file The service's part that outlasts nodes: evidence in the record store.
+/// @file The part of the service that stores evidence in the record store, so that it survives
+/// nodes.
 
 #include <algorithm>
 
@@ -10,161 +11,164 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// Servers that end under a request before evidence of it is kept in the store.
-constexpr std::size_t k_kept_crashes = 2;
-/// Requests of which evidence is kept: a record of some 12 KB. Those under which most servers ended
-/// go first.
-constexpr std::size_t k_most_kept = 64;
-/// A run that no caller waits for is left for so long at most while evidence is stored: longer than
-/// a write takes, and it goes on while the store is out.
-constexpr milliseconds k_storing_time{400};
-/// The same after the third server has ended: the record is in force 1.3 s later (played), and
-/// where it was taken back the runs go on.
-constexpr milliseconds k_record_time{2'000};
-/// What was found at the start is judged once there are collectors, mostly within a second.
-constexpr milliseconds k_judging_time{3'000};
-/// Requests that are put under quarantine for what was found at a start. One that ends servers is
-/// rare; the others only stood beside it, and their first trial clears them.
-constexpr std::size_t k_most_condemned = 16;
-/// Former records that are removed together: a transaction of the users' store takes 32 entries.
-constexpr std::size_t k_most_removed = 16;
-constexpr milliseconds k_question_timeout{250};
+/// Servers that a request ends before its evidence is stored.
+constexpr std::size_t k_stored_crashes = 2;
+/// Limit of requests in the record, to bound its size. Those with the most servers are stored
+/// first.
+constexpr std::size_t k_max_stored_requests = 64;
+/// How long a run that no caller waits for is postponed while its evidence is stored. Longer than a
+/// write takes; runs continue while the store is unavailable.
+constexpr milliseconds k_evidence_write_wait{400};
+/// How long such a run is postponed after the crash threshold was reached. Longer than a record
+/// takes to come into effect; if the record was removed, runs continue.
+constexpr milliseconds k_record_wait{2'000};
+/// How long runs wait for the evidence found at startup to be resolved, which requires collectors.
+constexpr milliseconds k_resolution_timeout{3'000};
+/// Limit of requests quarantined because of evidence found at startup. Harmless ones among them are
+/// cleared by their first trial.
+constexpr std::size_t k_max_orphans_quarantined = 16;
+/// Records removed in one transaction; with one comparison each, they stay within the store's limit
+/// of 32 entries.
+constexpr std::size_t k_max_removals = 16;
+constexpr milliseconds k_liveness_timeout{250};
 constexpr milliseconds k_removal_timeout{400};
-/// Older evidence says little: see `service::clean`.
-constexpr std::uint64_t k_longest_kept_ms = 600'000;
+/// Matches the retention of evidence in memory, see `service::clean`.
+constexpr std::uint64_t k_max_evidence_age_ms = 600'000;
 
 }  // namespace
 
-std::vector<kept_evidence> service::select_evidence() const {
-  std::vector<kept_evidence> selected;
-  for (fingerprint const& request : collected_.heaviest(least_kept_crashes(), k_most_kept)) {
-    // A record outlasts all nodes by itself.
+std::vector<stored_evidence> service::select_evidence() const {
+  std::vector<stored_evidence> selected;
+  for (fingerprint const& request :
+       collected_.most_suspected(min_stored_crashes(), k_max_stored_requests)) {
+    // The quarantine record already survives the loss of all nodes.
     if (list_.is_proven(request)) continue;
     selected.push_back({request, collected_.find(request)->servers});
   }
   return selected;
 }
 
-std::size_t service::least_kept_crashes() const {
-  // Without collectors, as when the whole system has just started, only the store brings together
-  // what different nodes have seen.
-  return dependencies_.find_collectors().empty() ? 1 : k_kept_crashes;
+std::size_t service::min_stored_crashes() const {
+  // Without collectors, as after a full restart, the store is the only place where evidence of
+  // different nodes is combined.
+  return dependencies_.find_collectors().empty() ? 1 : k_stored_crashes;
 }
 
-void service::keep_evidence(suspicion const& known) {
-  bool const keeps = is_collector() || dependencies_.find_collectors().empty();
-  if (keeps && known.servers.size() >= least_kept_crashes()) keeper_.keep();
+void service::store_evidence(crash_history const& known) {
+  bool const is_responsible = is_collector() || dependencies_.find_collectors().empty();
+  if (is_responsible && known.servers.size() >= min_stored_crashes()) evidence_writer_.update();
 }
 
 bool service::should_wait(fingerprint const& request, time_point now) {
-  if (former_.contains(request) && now < former_until_) return true;
-  // Until the record is in force, only an answer to the request's other callers could end it.
+  if (unresolved_.contains(request) && now < unresolved_until_) return true;
+  // Until the record is in effect, only an answer to another caller of the request could clear it.
   bool const is_recorded = list_.is_proven(request);
   if (is_recorded) return list_.check(request, now) == verdict::allowed;
-  suspicion const* const seen = seen_here_.find(request);
-  if (seen == nullptr || seen->servers.size() < k_kept_crashes) return false;
+  crash_history const* const seen = seen_here_.find(request);
+  if (seen == nullptr || seen->servers.size() < k_stored_crashes) return false;
   if (is_explained_by_others(request)) return false;
-  if (seen->enough_at) return now < seen->last_at + k_record_time;
-  if (keeper_.holds(request, seen->servers.size())) return false;
-  keeper_.keep();
-  return now < seen->last_at + k_storing_time;
+  if (seen->threshold_reached_at) return now < seen->last_crash_at + k_record_wait;
+  if (evidence_writer_.has_stored(request, seen->servers.size())) return false;
+  evidence_writer_.update();
+  return now < seen->last_crash_at + k_evidence_write_wait;
 }
 
-void service::take_evidence(kv::key_value const& record, first_sight seen) {
+void service::ingest_evidence(kv::key_value const& record, discovery discovered) {
   auto const found = evidence_record::decode(record.value);
   if (!found) {
-    log_line(log_level::error, k_part, "Evidence is malformed; it is passed over.",
+    log_line(log_level::error, k_part, "Evidence record is malformed and is ignored.",
              {{"key", record.key}, {"revision", record.mod_revision}});
     return;
   }
-  kv::revision& taken = evidence_taken_[record.key];
-  if (record.mod_revision <= taken) return;
-  taken = record.mod_revision;
+  kv::revision& ingested = ingested_revisions_[record.key];
+  if (record.mod_revision <= ingested) return;
+  ingested = record.mod_revision;
   bool const own = found->incarnation == incarnation_;
-  bool const old = found->written_at_ms + k_longest_kept_ms < wall_clock_ms();
-  log_line(log_level::info, k_part, "Evidence heard of.",
+  bool const old = found->written_at_ms + k_max_evidence_age_ms < wall_clock_ms();
+  log_line(log_level::info, k_part, "Evidence received.",
            {{"key", record.key},
             {"requests", found->requests.size()},
             {"own", own ? "yes" : "no"},
             {"old", old ? "yes" : "no"},
-            {"at_start", seen == first_sight::at_start ? "yes" : "no"}});
+            {"at_start", discovered == discovery::at_start ? "yes" : "no"}});
   if (own || old) return;
   time_point const now = boot_clock::now();
-  if (seen == first_sight::at_start) {
-    former_until_ = now + k_judging_time;
-    for (kept_evidence const& one : found->requests) former_.insert(one.request);
-    found_at_start_.push_back({record.key, record.mod_revision, *found});
+  if (discovered == discovery::at_start) {
+    unresolved_until_ = now + k_resolution_timeout;
+    for (stored_evidence const& evidence : found->requests) unresolved_.insert(evidence.request);
+    previous_records_.push_back({record.key, record.mod_revision, *found});
   }
-  for (kept_evidence const& one : found->requests) {
-    // Its writer keeps it: it is not stored again here.
-    for (std::string const& server : one.servers) {
-      collected_.note({one.request, server, now, now});
+  for (stored_evidence const& evidence : found->requests) {
+    // The writer already stores this evidence, so it is not stored again here.
+    for (std::string const& server : evidence.servers) {
+      collected_.note({evidence.request, server, now, now});
     }
-    start_to_write(one.request);
+    start_write(evidence.request);
   }
 }
 
-void service::judge_in_time(time_point now) {
-  if (now >= former_until_) former_.clear();
-  if (found_at_start_.empty() || judging_ || own_rank() != 0) return;
+void service::resolve_previous_evidence_if_due(time_point now) {
+  if (now >= unresolved_until_) unresolved_.clear();
+  if (previous_records_.empty() || resolving_ || own_rank() != 0) return;
   bool const is_first = !dependencies_.find_collectors().empty();
   if (!is_first) return;
-  judging_ = true;
-  spawn(dependencies_.context, judge_former_evidence());
+  resolving_ = true;
+  spawn(dependencies_.context, resolve_previous_evidence());
 }
 
-awaitable<bool> service::is_remembered(evidence_record const& record) {
+awaitable<bool> service::is_writer_alive(evidence_record const& record) {
   if (record.writer == dependencies_.self) co_return record.incarnation == incarnation_;
   auto const reply = co_await rpc::call<rpc::CrashReportCallT, rpc::CrashReportReplyT>(
       dependencies_.transport, record.writer, "QuarantineService", "Report",
-      rpc::CrashReportCallT(), k_question_timeout);
+      rpc::CrashReportCallT(), k_liveness_timeout);
   co_return reply&& reply.value().incarnation == record.incarnation;
 }
 
-awaitable<void> service::judge_former_evidence() {
-  std::set<fingerprint> remembered;
-  std::vector<kept_evidence> forgotten;
-  for (former_record const& one : std::vector<former_record>(found_at_start_)) {
-    bool const known = co_await is_remembered(one.what);
-    for (kept_evidence const& kept : one.what.requests) {
-      if (known) remembered.insert(kept.request);
-      if (!known) forgotten.push_back(kept);
+awaitable<void> service::resolve_previous_evidence() {
+  std::set<fingerprint> held_by_live_writers;
+  std::vector<stored_evidence> orphaned;
+  for (previous_record const& record : std::vector<previous_record>(previous_records_)) {
+    bool const writer_alive = co_await is_writer_alive(record.evidence);
+    for (stored_evidence const& evidence : record.evidence.requests) {
+      if (writer_alive) held_by_live_writers.insert(evidence.request);
+      if (!writer_alive) orphaned.push_back(evidence);
     }
   }
-  std::size_t condemned = 0;
-  for (kept_evidence const& one : forgotten) {
-    bool const settled = remembered.contains(one.request) || list_.is_proven(one.request) ||
-                         collected_.find(one.request) == nullptr ||
-                         is_explained_by_others(one.request);
-    if (settled || condemned == k_most_condemned) continue;
-    ++condemned;
-    log_line(log_level::warning, k_part, "Nobody remembers what the store tells of a request.",
-             {{"fingerprint", one.request.to_string()}, {"servers", one.servers.size()}});
-    co_await try_to_write(one.request, false);
+  std::size_t quarantined = 0;
+  for (stored_evidence const& evidence : orphaned) {
+    bool const settled =
+        held_by_live_writers.contains(evidence.request) || list_.is_proven(evidence.request) ||
+        collected_.find(evidence.request) == nullptr || is_explained_by_others(evidence.request);
+    if (settled || quarantined == k_max_orphans_quarantined) continue;
+    ++quarantined;
+    log_line(log_level::warning, k_part,
+             "Quarantining a request on evidence from nodes that are gone.",
+             {{"fingerprint", evidence.request.to_string()}, {"servers", evidence.servers.size()}});
+    co_await try_to_write(evidence.request, false);
   }
-  former_.clear();
-  keeper_.keep();
-  co_await remove_former_records();
-  found_at_start_.clear();
-  judging_ = false;
+  unresolved_.clear();
+  evidence_writer_.update();
+  co_await remove_previous_records();
+  previous_records_.clear();
+  resolving_ = false;
 }
 
-awaitable<void> service::remove_former_records() {
+awaitable<void> service::remove_previous_records() {
   kv::transaction removal;
-  for (former_record const& one : found_at_start_) {
-    bool const own = one.key == evidence_record::key_of(dependencies_.node);
-    if (own || removal.on_success.size() == k_most_removed) continue;
-    if (co_await is_remembered(one.what)) continue;
-    removal.compares.push_back({one.key, one.revision});
+  for (previous_record const& record : previous_records_) {
+    bool const own = record.key == evidence_record::key_of(dependencies_.node);
+    if (own || removal.on_success.size() == k_max_removals) continue;
+    if (co_await is_writer_alive(record.evidence)) continue;
+    removal.compares.push_back({record.key, record.revision});
     kv::operation remove;
     remove.kind = kv::operation_kind::remove;
-    remove.key = one.key;
+    remove.key = record.key;
     removal.on_success.push_back(std::move(remove));
   }
   if (removal.on_success.empty()) co_return;
   std::size_t const count = removal.on_success.size();
   auto const outcome = co_await dependencies_.store.apply(std::move(removal), k_removal_timeout);
-  // Left as they are, they are found again at the next start, until they are old.
+  // Records that could not be removed are found again at the next start.
   bool const removed = outcome && outcome.value().succeeded;
   log_line(log_level::info, k_part, "Evidence of nodes that are gone is removed.",
            {{"records", count}, {"done", removed ? "yes" : "no"}});
--- a/src/quarantine/service_reports.cc
+++ b/src/quarantine/service_reports.cc
@@ -1,4 +1,4 @@
-/// @file The service's part that brings evidence together at the collectors.
+/// @file The part of the service that sends evidence to the collectors.
 
 #include <algorithm>
 
@@ -10,33 +10,35 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// Evidence of one moment is told together.
-constexpr milliseconds k_report_pause{30};
+/// Lets evidence of crashes at about the same time go into one report.
+constexpr milliseconds k_report_batch_delay{30};
 constexpr milliseconds k_report_timeout{250};
-constexpr milliseconds k_report_retry{200};
-constexpr milliseconds k_idle_look{1000};
+constexpr milliseconds k_report_retry_interval{200};
+constexpr milliseconds k_idle_poll_interval{1000};
 
 }  // namespace
 
 awaitable<void> service::report_loop() {
   while (true) {
     if (outbox_.empty()) {
-      co_await evidence_.wait();
-      co_await wait_for(k_report_pause);
+      co_await evidence_added_.wait();
+      co_await wait_for(k_report_batch_delay);
     }
     auto const collectors = dependencies_.find_collectors();
-    outbox_.keep_collectors(collectors);
+    outbox_.retain_collectors(collectors);
     for (endpoint const& collector : collectors) {
       bool const due = collector != dependencies_.self && outbox_.has_pending(collector);
       if (due && reporting_to_.insert(collector).second) {
         spawn(dependencies_.context, report_to(collector));
       }
     }
-    bool const waiting = std::any_of(collectors.begin(), collectors.end(), [this](auto const& one) {
-      return one != dependencies_.self && outbox_.has_pending(one);
-    });
-    // Whoever becomes a collector later is told, too.
-    co_await evidence_.wait_until(boot_clock::now() + (waiting ? k_report_retry : k_idle_look));
+    bool const waiting =
+        std::any_of(collectors.begin(), collectors.end(), [this](auto const& collector) {
+          return collector != dependencies_.self && outbox_.has_pending(collector);
+        });
+    // New collectors also receive the existing evidence.
+    co_await evidence_added_.wait_until(boot_clock::now() +
+                                        (waiting ? k_report_retry_interval : k_idle_poll_interval));
   }
 }
 
@@ -44,26 +46,26 @@
   crash_report const report = outbox_.next_report(collector);
   rpc::CrashReportCallT call;
   call.node = dependencies_.node;
-  for (crash const& one : report.evidence) {
+  for (crash const& event : report.evidence) {
     auto evidence = std::make_unique<rpc::CrashEvidenceT>();
-    evidence->fingerprint = one.request.to_string();
-    evidence->server = one.server;
+    evidence->fingerprint = event.request.to_string();
+    evidence->server = event.server;
     call.evidence.push_back(std::move(evidence));
   }
   auto const reply = co_await rpc::call<rpc::CrashReportCallT, rpc::CrashReportReplyT>(
       dependencies_.transport, collector, "QuarantineService", "Report", call, k_report_timeout);
   reporting_to_.erase(collector);
   if (reply) {
-    outbox_.note_told(collector, reply.value().incarnation, report.up_to);
+    outbox_.note_reported(collector, reply.value().incarnation, report.last_number);
     co_return;
   }
-  log_line(log_level::info, k_part, "Collector did not take a report.",
+  log_line(log_level::info, k_part, "Failed to report evidence to a collector.",
            {{"collector", collector.to_string()},
             {"evidence", report.evidence.size()},
             {"error", reply.error().detail}});
 }
 
-rpc::CrashReportReplyT service::take_report(rpc::CrashReportCallT const& call) {
+rpc::CrashReportReplyT service::handle_report(rpc::CrashReportCallT const& call) {
   time_point const now = boot_clock::now();
   for (auto const& evidence : call.evidence) {
     auto const request = fingerprint::parse(evidence->fingerprint);
@@ -78,7 +80,7 @@
   methods.add<rpc::CrashReportCallT, rpc::CrashReportReplyT>(
       "QuarantineService", "Report",
       [this](rpc::CrashReportCallT call) -> awaitable<rpc::reply<rpc::CrashReportReplyT>> {
-        co_return take_report(call);
+        co_return handle_report(call);
       });
 }
 
--- a/src/quarantine/undecided_runs.h
+++ b/src/quarantine/undecided_runs.h
@@ -1,7 +1,6 @@
-/// @file Runs that ended without an answer at a server at whose address somebody listened
-/// afterwards: that may have been its next life, which had not run them. Pure.
-///
-/// Which it was is learned from the directory: the record of the next life comes within seconds.
+/// @file Runs that broke off at a server whose address accepted connections afterwards. The
+/// listener may be the same process or its restart; the directory's record of the restart arrives
+/// within seconds and decides. Pure.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +15,20 @@
 
 class undecided_runs {
  public:
-  /// How long after a look a next life is taken for the sign that the server had ended before it.
-  /// The record of a life that had begun by then comes within a second, also after a suspension.
-  /// Shorter than a server takes to start again on the users' machines (2.6 s), so that one that
-  /// ends after the look is not held against the run.
-  static constexpr milliseconds k_memory{1'500};
-  /// Runs that are kept; beyond that the oldest goes. Some hundred connections of a node may break
-  /// at once.
-  static constexpr std::size_t k_most = 512;
+  /// How long a restart seen in the directory is taken as proof that the server had ended before
+  /// the probe. Longer than the record of a restart takes to arrive, and shorter than a server
+  /// takes to restart, so that a crash after the probe is not attributed to the run.
+  static constexpr milliseconds k_retention{1'500};
+  /// Limit of runs, sized for all connections of a node breaking at once; beyond it the oldest is
+  /// dropped.
+  static constexpr std::size_t k_max_runs = 512;
 
   void add(directory::server const& server, crash run, time_point now);
-  /// Takes the runs whose servers have been replaced since.
+  /// Removes and returns the runs whose servers have been replaced.
   std::vector<crash> extract_replaced(
       std::function<bool(directory::server const&)> const& is_replaced);
-  /// Forgets servers that are stopped on purpose.
-  void drop_planned(std::function<bool(directory::server const&)> const& is_leaving);
+  /// Drops runs at servers that are being stopped on purpose.
+  void drop_leaving(std::function<bool(directory::server const&)> const& is_leaving);
   void expire(time_point now);
   bool empty() const { return runs_.empty(); }
 
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -1,4 +1,4 @@
-/// @file Whether a server has ended after a run on it was given up.
+/// @file Detection of server crashes after a connection broke or a run was abandoned.
 
 #include "quarantine/crash_watch.h"
 
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr milliseconds k_patience{2000};
-/// A server may go on for half a second with what was given up; then one last look.
-constexpr milliseconds k_followed{900};
+constexpr milliseconds k_wait_timeout{2000};
+/// Longer than a server with an abandoned run is probed.
+constexpr milliseconds k_monitoring_time{900};
 
 }  // namespace
 
@@ -26,14 +26,17 @@
   tcp::acceptor listener{context};
   directory::server server;
   directory::server_directory directory;
-  std::vector<crash> seen;
-  bool has_resting = false;
-  std::size_t kept = 0;
+  std::vector<crash> crashes;
+  bool has_open_connection = false;
+  std::size_t connections_adopted = 0;
   crash_watch watch{
       context,
-      {[this](directory::server const&, time_point) { return has_resting; },
-       [this](directory::server const&, http::beast::tcp_stream) { ++kept; }, &directory},
-      [this](std::vector<crash> found) { seen.insert(seen.end(), found.begin(), found.end()); }};
+      {[this](directory::server const&, time_point) { return has_open_connection; },
+       [this](directory::server const&, http::beast::tcp_stream) { ++connections_adopted; },
+       &directory},
+      [this](std::vector<crash> found) {
+        crashes.insert(crashes.end(), found.begin(), found.end());
+      }};
   fingerprint const request = fingerprint::of({"", "host", "POST", "/", "body"});
 
   void setup() override {
@@ -46,7 +49,7 @@
     listener.listen();
   }
 
-  /// The server starts again under its identifier.
+  /// Simulates a restart of the server under the same identifier.
   void replace_server() {
     directory::server next = server;
     next.born = server.born + 1;
@@ -60,7 +63,7 @@
   }
 
   bool run_until(std::function<bool()> const& condition) {
-    time_point const limit = boot_clock::now() + k_patience;
+    time_point const limit = boot_clock::now() + k_wait_timeout;
     while (!condition() && boot_clock::now() < limit) {
       context.restart();
       context.run_one_for(milliseconds(20));
@@ -69,90 +72,90 @@
   }
 };
 
-TEST(crash_watch_test, server_that_ends_after_the_run_was_given_up_is_evidence) {
+TEST(crash_watch_test, end_of_server_after_abandoned_run_is_reported) {
   time_point const sent_at = boot_clock::now();
   watch.note_abandoned_run(server, request, sent_at);
-  CHECK(run_until([&] { return kept == 1; }));
+  CHECK(run_until([&] { return connections_adopted == 1; }));
   listener.close();
-  CHECK(run_until([&] { return !seen.empty(); }));
-  LONGS_EQUAL(1, seen.size());
-  CHECK(seen.front().request == request);
-  CHECK(seen.front().sent_at == sent_at);
+  CHECK(run_until([&] { return !crashes.empty(); }));
+  LONGS_EQUAL(1, crashes.size());
+  CHECK(crashes.front().request == request);
+  CHECK(crashes.front().sent_at == sent_at);
 }
 
-TEST(crash_watch_test, all_runs_that_were_given_up_there_are_told_once) {
+TEST(crash_watch_test, all_abandoned_runs_are_reported_once) {
   listener.close();
   for (int run = 0; run < 3; ++run) watch.note_abandoned_run(server, request, boot_clock::now());
-  CHECK(run_until([&] { return !seen.empty(); }));
-  run_for(k_followed);
-  LONGS_EQUAL(3, seen.size());
+  CHECK(run_until([&] { return !crashes.empty(); }));
+  run_for(k_monitoring_time);
+  LONGS_EQUAL(3, crashes.size());
 }
 
-TEST(crash_watch_test, server_that_lives_is_no_evidence_and_is_left_alone_after_a_while) {
+TEST(crash_watch_test, probing_of_running_server_stops_without_report) {
   watch.note_abandoned_run(server, request, boot_clock::now());
-  run_for(k_followed);
+  run_for(k_monitoring_time);
   std::uint64_t const looks = watch.connections_opened();
   listener.close();
-  run_for(k_followed);
-  CHECK(seen.empty());
+  run_for(k_monitoring_time);
+  CHECK(crashes.empty());
   LONGS_EQUAL(looks, watch.connections_opened());
 }
 
-TEST(crash_watch_test, connection_that_rests_saves_one) {
-  has_resting = true;
+TEST(crash_watch_test, open_connection_replaces_probe) {
+  has_open_connection = true;
   watch.note_abandoned_run(server, request, boot_clock::now());
-  run_for(k_followed);
-  CHECK(seen.empty());
+  run_for(k_monitoring_time);
+  CHECK(crashes.empty());
   LONGS_EQUAL(0, watch.connections_opened());
 }
 
-TEST(crash_watch_test, server_is_followed_anew_for_a_later_run) {
+TEST(crash_watch_test, later_abandoned_run_restarts_probing) {
   watch.note_abandoned_run(server, request, boot_clock::now());
-  run_for(k_followed);
+  run_for(k_monitoring_time);
   listener.close();
   watch.note_abandoned_run(server, request, boot_clock::now());
-  CHECK(run_until([&] { return !seen.empty(); }));
+  CHECK(run_until([&] { return !crashes.empty(); }));
 }
 
-TEST(crash_watch_test, server_that_was_back_before_the_look_is_evidence_once_the_directory_tells) {
+TEST(crash_watch_test, restart_before_probe_is_reported_once_directory_lists_it) {
   watch.note_broken(server, request, boot_clock::now());
-  CHECK(run_until([&] { return kept == 1; }));
-  CHECK(seen.empty());
+  CHECK(run_until([&] { return connections_adopted == 1; }));
+  CHECK(crashes.empty());
   replace_server();
-  LONGS_EQUAL(1, seen.size());
+  LONGS_EQUAL(1, crashes.size());
   replace_server();
-  LONGS_EQUAL(1, seen.size());
+  LONGS_EQUAL(1, crashes.size());
 }
 
-TEST(crash_watch_test, server_that_the_directory_knew_to_be_replaced_is_evidence_at_the_look) {
+TEST(crash_watch_test, restart_already_listed_is_reported_after_probe) {
   replace_server();
   watch.note_broken(server, request, boot_clock::now());
-  CHECK(run_until([&] { return !seen.empty(); }));
+  CHECK(run_until([&] { return !crashes.empty(); }));
 }
 
-TEST(crash_watch_test, server_that_a_resting_connection_shows_alive_is_none) {
-  has_resting = true;
+TEST(crash_watch_test, open_connection_rules_out_a_crash) {
+  has_open_connection = true;
   watch.note_broken(server, request, boot_clock::now());
-  CHECK(run_until([&] { return kept == 1; }));
+  CHECK(run_until([&] { return connections_adopted == 1; }));
   replace_server();
-  CHECK(seen.empty());
+  CHECK(crashes.empty());
 }
 
-TEST(crash_watch_test, server_that_is_replaced_much_later_is_none) {
+TEST(crash_watch_test, much_later_restart_is_not_reported) {
   watch.note_broken(server, request, boot_clock::now());
-  CHECK(run_until([&] { return kept == 1; }));
-  watch.clean(boot_clock::now() + undecided_runs::k_memory);
+  CHECK(run_until([&] { return connections_adopted == 1; }));
+  watch.clean(boot_clock::now() + undecided_runs::k_retention);
   replace_server();
-  CHECK(seen.empty());
+  CHECK(crashes.empty());
 }
 
-TEST(crash_watch_test, server_that_left_as_planned_is_none) {
+TEST(crash_watch_test, planned_stop_is_not_reported) {
   watch.note_broken(server, request, boot_clock::now());
-  CHECK(run_until([&] { return kept == 1; }));
+  CHECK(run_until([&] { return connections_adopted == 1; }));
   directory::server leaving = server;
   leaving.state = directory::server_state::draining;
   directory.put(leaving);
   watch.note_directory_change();
   replace_server();
-  CHECK(seen.empty());
+  CHECK(crashes.empty());
 }
--- a/tests/unit/quarantine/fingerprint_test.cc
+++ b/tests/unit/quarantine/fingerprint_test.cc
@@ -1,4 +1,4 @@
-/// @file Which requests count as the same.
+/// @file Which requests have the same fingerprint.
 
 #include "quarantine/fingerprint.h"
 
@@ -14,13 +14,13 @@
 
 TEST_GROUP(fingerprint_test){};
 
-TEST(fingerprint_test, same_parts_give_the_same_text) {
+TEST(fingerprint_test, equal_parts_give_equal_fingerprints) {
   STRCMP_EQUAL(fingerprint::of(k_request).to_string().c_str(),
                fingerprint::of(k_request).to_string().c_str());
   LONGS_EQUAL(32, fingerprint::of(k_request).to_string().size());
 }
 
-TEST(fingerprint_test, each_part_tells_requests_apart) {
+TEST(fingerprint_test, each_part_changes_the_fingerprint) {
   auto const known = fingerprint::of(k_request);
   CHECK(known != fingerprint::of({"other", "host", "POST", "/a/b?c=d", "body"}));
   CHECK(known != fingerprint::of({"tenant", "other", "POST", "/a/b?c=d", "body"}));
@@ -29,14 +29,14 @@
   CHECK(known != fingerprint::of({"tenant", "host", "POST", "/a/b?c=d", "body2"}));
 }
 
-TEST(fingerprint_test, bytes_can_not_be_moved_from_one_part_into_the_next) {
+TEST(fingerprint_test, moving_bytes_between_parts_changes_the_fingerprint) {
   CHECK(fingerprint::of({"", "h", "POST", "/ab", "c"}) !=
         fingerprint::of({"", "h", "POST", "/a", "bc"}));
   CHECK(fingerprint::of({"t", "h", "POST", "/", ""}) !=
         fingerprint::of({"", "th", "POST", "/", ""}));
 }
 
-TEST(fingerprint_test, text_is_read_back_and_other_text_is_refused) {
+TEST(fingerprint_test, valid_text_is_parsed_and_invalid_text_rejected) {
   auto const known = fingerprint::of(k_request);
   CHECK(fingerprint::parse(known.to_string()) == known);
   CHECK(!fingerprint::parse(""));
--- a/tests/unit/quarantine/quarantine_list_test.cc
+++ b/tests/unit/quarantine/quarantine_list_test.cc
@@ -1,4 +1,4 @@
-/// @file When a record takes effect, and when a request may be tried again.
+/// @file When a record takes effect and when trials are due.
 
 #include "quarantine/quarantine_list.h"
 
@@ -18,8 +18,8 @@
   bool put(kv::revision revision, std::uint32_t trials, time_point now) {
     return list.put({request, revision, {"s1", "s2", "s3"}, trials}, now);
   }
-  void suspect(kv::revision revision, time_point now, first_sight seen) {
-    list.put({request, revision, {"s1", "s2"}, 0, true}, now, seen);
+  void suspect(kv::revision revision, time_point now, discovery discovered) {
+    list.put({request, revision, {"s1", "s2"}, 0, true}, now, discovered);
   }
   bool is(verdict expected, time_point now) const { return list.check(request, now) == expected; }
 };
@@ -30,16 +30,16 @@
   CHECK(list.check(other, start + seconds(10)) == verdict::allowed);
 }
 
-TEST(quarantine_list_test, record_takes_effect_after_the_time_to_object) {
+TEST(quarantine_list_test, record_takes_effect_after_the_delay) {
   put(5, 0, start);
-  CHECK(is(verdict::allowed, start + quarantine_list::k_objection_time - milliseconds(1)));
-  CHECK(is(verdict::refused, start + quarantine_list::k_objection_time));
+  CHECK(is(verdict::allowed, start + quarantine_list::k_effect_delay - milliseconds(1)));
+  CHECK(is(verdict::refused, start + quarantine_list::k_effect_delay));
 }
 
-TEST(quarantine_list_test, trials_are_due_at_growing_pauses_and_end) {
+TEST(quarantine_list_test, trials_are_due_after_growing_delays_and_end) {
   time_point changed = start;
   std::uint32_t trials = 0;
-  for (milliseconds const pause : quarantine_list::k_trial_pauses) {
+  for (milliseconds const pause : quarantine_list::k_trial_delays) {
     put(5 + trials, trials, changed);
     CHECK(is(verdict::refused, changed + pause - milliseconds(1)));
     CHECK(is(verdict::trial, changed + pause));
@@ -50,23 +50,23 @@
   CHECK(is(verdict::refused, changed + seconds(1'000'000)));
 }
 
-TEST(quarantine_list_test, time_to_the_next_trial_is_told_as_long_as_there_is_one) {
-  CHECK(!list.time_to_trial(request, start));
+TEST(quarantine_list_test, time_until_trial_is_known_while_trials_remain) {
+  CHECK(!list.time_until_trial(request, start));
   put(5, 0, start);
-  CHECK(list.time_to_trial(request, start + milliseconds(700)) ==
-        quarantine_list::k_trial_pauses[0] - milliseconds(700));
-  CHECK(list.time_to_trial(request, start + seconds(9)) == milliseconds(0));
-  put(6, std::size(quarantine_list::k_trial_pauses), start);
-  CHECK(!list.time_to_trial(request, start));
+  CHECK(list.time_until_trial(request, start + milliseconds(700)) ==
+        quarantine_list::k_trial_delays[0] - milliseconds(700));
+  CHECK(list.time_until_trial(request, start + seconds(9)) == milliseconds(0));
+  put(6, std::size(quarantine_list::k_trial_delays), start);
+  CHECK(!list.time_until_trial(request, start));
 }
 
-TEST(quarantine_list_test, trials_with_one_unseen_retry_stay_within_three) {
-  CHECK(std::size(quarantine_list::k_trial_pauses) + 1 <= 3);
+TEST(quarantine_list_test, trials_and_one_earlier_retry_stay_within_three) {
+  CHECK(std::size(quarantine_list::k_trial_delays) + 1 <= 3);
 }
 
-TEST(quarantine_list_test, claimed_trial_does_not_begin_the_time_to_object_anew) {
+TEST(quarantine_list_test, claimed_trial_does_not_restart_the_effect_delay) {
   put(5, 0, start);
-  time_point const claimed = start + quarantine_list::k_trial_pauses[0];
+  time_point const claimed = start + quarantine_list::k_trial_delays[0];
   put(6, 1, claimed);
   CHECK(is(verdict::refused, claimed));
 }
@@ -78,35 +78,35 @@
   LONGS_EQUAL(1, list.find(request)->trials);
 }
 
-TEST(quarantine_list_test, suspicion_has_no_effect_where_it_was_not_found_at_the_start) {
-  suspect(5, start, first_sight::later);
+TEST(quarantine_list_test, suspicion_received_later_has_no_effect) {
+  suspect(5, start, discovery::later);
   CHECK(is(verdict::allowed, start + seconds(1'000'000)));
   CHECK(!list.is_proven(request));
 }
 
-TEST(quarantine_list_test, suspicion_found_at_the_start_takes_effect_and_its_trial_is_due) {
-  suspect(5, start, first_sight::at_start);
-  CHECK(is(verdict::allowed, start + quarantine_list::k_suspicion_time - milliseconds(1)));
-  CHECK(is(verdict::trial, start + quarantine_list::k_suspicion_time));
+TEST(quarantine_list_test, suspicion_found_at_startup_takes_effect_with_a_trial_due) {
+  suspect(5, start, discovery::at_start);
+  CHECK(is(verdict::allowed, start + quarantine_list::k_suspicion_effect_delay - milliseconds(1)));
+  CHECK(is(verdict::trial, start + quarantine_list::k_suspicion_effect_delay));
 }
 
-TEST(quarantine_list_test, proved_suspicion_takes_effect_after_the_time_to_object) {
-  suspect(5, start, first_sight::later);
+TEST(quarantine_list_test, confirmed_suspicion_takes_effect_after_the_delay) {
+  suspect(5, start, discovery::later);
   time_point const proved = start + milliseconds(400);
   put(6, 0, proved);
   CHECK(list.is_proven(request));
-  CHECK(is(verdict::allowed, proved + quarantine_list::k_objection_time - milliseconds(1)));
-  CHECK(is(verdict::refused, proved + quarantine_list::k_objection_time));
+  CHECK(is(verdict::allowed, proved + quarantine_list::k_effect_delay - milliseconds(1)));
+  CHECK(is(verdict::refused, proved + quarantine_list::k_effect_delay));
 }
 
-TEST(quarantine_list_test, proof_does_not_end_the_effect_of_a_suspicion) {
-  suspect(5, start, first_sight::at_start);
-  time_point const in_effect = start + quarantine_list::k_suspicion_time;
+TEST(quarantine_list_test, confirmation_does_not_suspend_an_effective_suspicion) {
+  suspect(5, start, discovery::at_start);
+  time_point const in_effect = start + quarantine_list::k_suspicion_effect_delay;
   put(6, 1, in_effect);
   CHECK(is(verdict::refused, in_effect));
 }
 
-TEST(quarantine_list_test, suspicion_is_read_back_as_written) {
+TEST(quarantine_list_test, suspicion_flag_survives_encoding) {
   kv::key_value record;
   record.key = quarantine_list::key_of(request);
   record.value = quarantine_list::encode({request, 0, {"s1", "s2"}, 0, true}, "");
@@ -122,7 +122,7 @@
   CHECK(is(verdict::allowed, start + seconds(10)));
 }
 
-TEST(quarantine_list_test, record_is_read_back_and_a_malformed_one_is_refused) {
+TEST(quarantine_list_test, record_is_decoded_and_malformed_one_rejected) {
   quarantine_entry entry{request, 0, {"s1", "s2", "s3"}, 1};
   kv::key_value record;
   record.key = quarantine_list::key_of(request);
@@ -140,12 +140,12 @@
   CHECK(!quarantine_list::decode(record));
 }
 
-TEST(quarantine_list_test, oldest_record_is_the_surplus) {
-  for (std::size_t number = 0; number <= quarantine_list::k_most_entries; ++number) {
-    CHECK(list.surplus() == nullptr);
+TEST(quarantine_list_test, oldest_record_is_evicted_first) {
+  for (std::size_t number = 0; number <= quarantine_list::k_max_entries; ++number) {
+    CHECK(list.entry_to_evict() == nullptr);
     auto const one = fingerprint::of({"", "host", "POST", "/", std::to_string(number)});
     list.put({one, 100 + number, {}, 0}, start);
   }
-  CHECK(list.surplus() != nullptr);
-  LONGS_EQUAL(100, list.surplus()->revision);
+  CHECK(list.entry_to_evict() != nullptr);
+  LONGS_EQUAL(100, list.entry_to_evict()->revision);
 }
--- a/tests/unit/quarantine/quarantine_service_test.cc
+++ b/tests/unit/quarantine/quarantine_service_test.cc
@@ -1,4 +1,4 @@
-/// @file What a collector makes of other nodes' evidence.
+/// @file Collecting evidence, writing and removing records, and recovery of stored evidence.
 
 #include <CppUTest/TestHarness.h>
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr milliseconds k_patience{1500};
-constexpr milliseconds k_long_ago{601'000};
+constexpr milliseconds k_wait_timeout{1500};
+constexpr milliseconds k_beyond_retention{601'000};
 
 }  // namespace
 
@@ -29,8 +29,8 @@
                      [this] { return records_current; }}};
   rpc::dispatcher methods;
   std::string address = own_loopback_address();
-  /// Evidence that the other collector was told.
-  std::size_t told = 0;
+  /// Number of crashes received by the other collector.
+  std::size_t reported = 0;
   rpc::dispatcher other_methods;
   http::server other{context, http::server_limits(), [this](http::request message) {
                        return other_methods.handle(std::move(message));
@@ -42,7 +42,7 @@
     collector.start();
   }
 
-  /// A server at whose address nobody listens.
+  /// A server at whose address nothing listens.
   directory::server ended_server(std::string const& id) {
     directory::server server;
     server.id = id;
@@ -50,26 +50,26 @@
     return server;
   }
 
-  void see_server_end(std::string const& server, fingerprint const& under) {
+  void observe_crash(std::string const& server, fingerprint const& under) {
     std::size_t const before = collector.crashes_seen(under);
     collector.note_broken(ended_server(server), under, boot_clock::now());
     CHECK(run_until([&] { return collector.crashes_seen(under) > before; }));
   }
 
-  /// One after the other, under this node's own runs.
-  void see_three_servers_end() {
-    for (char const* server : {"one", "two", "three"}) see_server_end(server, request);
+  /// Three crashes in sequence, in runs of this node.
+  void observe_three_crashes() {
+    for (char const* server : {"one", "two", "three"}) observe_crash(server, request);
   }
 
-  /// Two servers end, then the request is recorded before its next run.
+  /// Observes two crashes and records the suspicion.
   void record_suspicion() {
-    for (char const* server : {"one", "two"}) see_server_end(server, request);
+    for (char const* server : {"one", "two"}) observe_crash(server, request);
     CHECK(collector.must_be_recorded(request));
     spawn(context, collector.record_before_next_run(request));
-    CHECK(is_recorded_in_time());
+    CHECK(becomes_recorded());
   }
 
-  bool is_gone_in_time() {
+  bool becomes_removed() {
     return run_until([&] { return store.list_now(quarantine_list::records_prefix()).empty(); });
   }
 
@@ -80,20 +80,20 @@
     return entry && !entry->is_suspicion;
   }
 
-  /// Another node records a suspicion and is gone.
-  void hear_of_suspicion() {
+  /// Receives a suspicion recorded by a node that has ended since.
+  void receive_suspicion() {
     store.put_now(quarantine_list::key_of(request),
                   quarantine_list::encode({request, 0, {"one", "two"}, 0, true}, ""));
     auto const records = store.list_now(quarantine_list::records_prefix());
     collector.listener().event({false, records.front()});
   }
 
-  /// Another collector, which takes reports.
-  endpoint listening() {
+  /// Starts another collector, which accepts reports.
+  endpoint start_other_collector() {
     other_methods.add<rpc::CrashReportCallT, rpc::CrashReportReplyT>(
         "QuarantineService", "Report",
         [this](rpc::CrashReportCallT call) -> awaitable<rpc::reply<rpc::CrashReportReplyT>> {
-          told += call.evidence.size();
+          reported += call.evidence.size();
           rpc::CrashReportReplyT reply;
           reply.incarnation = "other";
           co_return reply;
@@ -104,7 +104,7 @@
   }
 
   bool run_until(std::function<bool()> const& condition) {
-    time_point const limit = boot_clock::now() + k_patience;
+    time_point const limit = boot_clock::now() + k_wait_timeout;
     while (!condition() && boot_clock::now() < limit) {
       context.restart();
       context.run_one_for(milliseconds(20));
@@ -130,17 +130,17 @@
     LONGS_EQUAL(200, status);
   }
 
-  /// The store holds evidence of a process that ran before this node started.
-  void find_evidence_at_start(endpoint const& writer, std::string const& incarnation) {
+  /// Delivers a first snapshot with evidence of a process that ran before this node started.
+  void load_evidence_at_startup(endpoint const& writer, std::string const& incarnation) {
     evidence_record record{writer, incarnation, {{request, {"one", "two"}}}, wall_clock_ms()};
-    store.put_now(evidence_record::key_of("former"), record.encode());
+    store.put_now(evidence_record::key_of("previous"), record.encode());
     kv::range_answer all;
     all.entries = store.list_now(quarantine_records_prefix());
     collector.listener().snapshot(all);
   }
 
-  /// Time passes as in the node, which cleans four times a second.
-  bool is_recorded_after_cleaning() {
+  /// Calls `clean` repeatedly, as the node does.
+  bool becomes_recorded_while_cleaning() {
     return run_until([&] {
       collector.clean(boot_clock::now());
       return !store.list_now(quarantine_list::records_prefix()).empty();
@@ -151,101 +151,101 @@
     return store.list_now(evidence_record::records_prefix()).size();
   }
 
-  bool is_recorded_in_time() {
+  bool becomes_recorded() {
     return run_until([&] { return !store.list_now(quarantine_list::records_prefix()).empty(); });
   }
 };
 
-TEST(quarantine_service_test, three_servers_that_ended_are_enough_for_a_record) {
+TEST(quarantine_service_test, three_crashes_create_a_record) {
   report("one");
   report("two");
-  CHECK(!is_recorded_in_time());
+  CHECK(!becomes_recorded());
   report("three");
-  CHECK(is_recorded_in_time());
+  CHECK(becomes_recorded());
 }
 
-TEST(quarantine_service_test, what_ended_long_ago_counts_no_more) {
+TEST(quarantine_service_test, expired_crashes_do_not_count) {
   report("one");
   report("two");
-  collector.clean(boot_clock::now() + k_long_ago);
+  collector.clean(boot_clock::now() + k_beyond_retention);
   report("three");
-  CHECK(!is_recorded_in_time());
+  CHECK(!becomes_recorded());
 }
 
-TEST(quarantine_service_test, node_to_which_no_records_come_refuses_alone_unless_it_is_disputed) {
+TEST(quarantine_service_test, node_without_current_records_refuses_by_its_own_evidence) {
   records_current = false;
-  see_three_servers_end();
+  observe_three_crashes();
   time_point const now = boot_clock::now();
   CHECK(collector.check(request, now) == verdict::allowed);
-  CHECK(collector.check(request, now + quarantine_list::k_objection_time) == verdict::refused);
+  CHECK(collector.check(request, now + quarantine_list::k_effect_delay) == verdict::refused);
   CHECK(collector.check(request, now + milliseconds(6000)) == verdict::allowed);
   collector.note_answer(request);
-  CHECK(collector.check(request, now + quarantine_list::k_objection_time) == verdict::allowed);
+  CHECK(collector.check(request, now + quarantine_list::k_effect_delay) == verdict::allowed);
 }
 
-TEST(quarantine_service_test, node_to_which_records_come_waits_for_one) {
-  collectors = {listening()};
-  see_three_servers_end();
+TEST(quarantine_service_test, node_with_current_records_waits_for_a_record) {
+  collectors = {start_other_collector()};
+  observe_three_crashes();
   time_point const now = boot_clock::now();
-  CHECK(collector.check(request, now + quarantine_list::k_objection_time) == verdict::allowed);
+  CHECK(collector.check(request, now + quarantine_list::k_effect_delay) == verdict::allowed);
   CHECK(collector.check(request, now + milliseconds(1500)) == verdict::allowed);
 }
 
-TEST(quarantine_service_test, node_that_is_no_collector_leaves_the_record_to_those_who_are) {
-  collectors = {listening()};
+TEST(quarantine_service_test, other_nodes_leave_the_record_to_collectors) {
+  collectors = {start_other_collector()};
   for (char const* server : {"one", "two", "three"}) {
     collector.note_broken(ended_server(server), request, boot_clock::now());
   }
   CHECK(run_until([&] { return collector.crashes_seen(request) == 3; }));
-  CHECK(run_until([&] { return told == 3; }));
-  CHECK(!is_recorded_in_time());
+  CHECK(run_until([&] { return reported == 3; }));
+  CHECK(!becomes_recorded());
 }
 
-TEST(quarantine_service_test, node_whose_collectors_are_silent_writes_the_record_itself) {
+TEST(quarantine_service_test, node_with_unreachable_collectors_writes_the_record) {
   collectors = {free_endpoint(address)};
   for (char const* server : {"one", "two", "three"}) {
     collector.note_broken(ended_server(server), request, boot_clock::now());
   }
-  CHECK(is_recorded_in_time());
+  CHECK(becomes_recorded());
 }
 
 TEST(quarantine_service_test, suspicion_refuses_nothing_and_is_withdrawn) {
   record_suspicion();
   time_point const now = boot_clock::now();
   CHECK(collector.check(request, now + seconds(10)) == verdict::allowed);
-  CHECK(is_gone_in_time());
+  CHECK(becomes_removed());
   LONGS_EQUAL(2, collector.crashes_seen(request));
   CHECK(collector.must_be_recorded(request));
 }
 
-TEST(quarantine_service_test, third_crash_proves_a_suspicion) {
+TEST(quarantine_service_test, third_crash_confirms_a_suspicion) {
   record_suspicion();
-  see_server_end("three", request);
+  observe_crash("three", request);
   CHECK(run_until([&] { return is_proven_in_store(); }));
   time_point const now = boot_clock::now();
-  CHECK(collector.check(request, now + quarantine_list::k_objection_time) == verdict::refused);
+  CHECK(collector.check(request, now + quarantine_list::k_effect_delay) == verdict::refused);
 }
 
-TEST(quarantine_service_test, third_crash_that_another_request_explains_proves_nothing) {
-  fingerprint const deadly = fingerprint::of({"", "host", "POST", "/", "deadly"});
+TEST(quarantine_service_test, third_crash_explained_by_another_request_confirms_nothing) {
+  fingerprint const poison = fingerprint::of({"", "host", "POST", "/", "poison"});
   record_suspicion();
-  for (char const* server : {"zero", "one", "two", "three"}) see_server_end(server, deadly);
-  see_server_end("three", request);
+  for (char const* server : {"zero", "one", "two", "three"}) observe_crash(server, poison);
+  observe_crash("three", request);
   CHECK(run_until([&] { return collector.counters().records_written == 2; }));
   CHECK(run_until([&] { return collector.records() == 1; }));
   time_point const later = boot_clock::now() + seconds(1);
   CHECK(collector.check(request, later) == verdict::allowed);
-  CHECK(collector.check(deadly, later) != verdict::allowed);
+  CHECK(collector.check(poison, later) != verdict::allowed);
 }
 
-TEST(quarantine_service_test, one_more_crash_proves_a_suspicion_whose_writer_is_gone) {
-  hear_of_suspicion();
+TEST(quarantine_service_test, one_crash_confirms_a_suspicion_of_a_previous_node) {
+  receive_suspicion();
   CHECK(collector.check(request, boot_clock::now() + seconds(10)) == verdict::allowed);
-  see_server_end("three", request);
+  observe_crash("three", request);
   CHECK(run_until([&] { return is_proven_in_store(); }));
 }
 
-TEST(quarantine_service_test, record_that_is_gone_unheard_of_is_not_taken_back_for_ever) {
+TEST(quarantine_service_test, revocation_of_a_missing_record_ends) {
   quarantine_entry entry;
   entry.request = request;
   kv::watch_event event;
@@ -258,7 +258,7 @@
   CHECK(run_until([&] { return collector.records() == 0; }));
 }
 
-TEST(quarantine_service_test, collector_keeps_evidence_of_two_crashes_until_there_is_an_answer) {
+TEST(quarantine_service_test, collector_stores_evidence_of_two_crashes_until_answered) {
   report("one");
   CHECK_FALSE(run_until([&] { return evidence_records() > 0; }));
   report("two");
@@ -268,47 +268,47 @@
   CHECK(run_until([&] { return evidence_records() == 0; }));
 }
 
-TEST(quarantine_service_test, evidence_that_nobody_remembers_puts_a_request_under_quarantine) {
-  find_evidence_at_start(self, "former life");
+TEST(quarantine_service_test, evidence_of_ended_writers_quarantines_the_request) {
+  load_evidence_at_startup(self, "previous incarnation");
   CHECK(collector.should_wait(request, boot_clock::now()));
-  CHECK(is_recorded_after_cleaning());
+  CHECK(becomes_recorded_while_cleaning());
   CHECK(collector.should_wait(request, boot_clock::now()));
-  time_point const later = boot_clock::now() + quarantine_list::k_objection_time;
+  time_point const later = boot_clock::now() + quarantine_list::k_effect_delay;
   CHECK(collector.check(request, later) == verdict::refused);
   CHECK_FALSE(collector.should_wait(request, later));
 }
 
-TEST(quarantine_service_test, evidence_whose_writer_lives_condemns_nothing) {
-  collectors = {self, listening()};
-  find_evidence_at_start(collectors.back(), "other");
-  CHECK_FALSE(is_recorded_after_cleaning());
+TEST(quarantine_service_test, evidence_of_a_running_writer_does_not_quarantine) {
+  collectors = {self, start_other_collector()};
+  load_evidence_at_startup(collectors.back(), "other");
+  CHECK_FALSE(becomes_recorded_while_cleaning());
   CHECK(collector.check(request, boot_clock::now() + seconds(10)) == verdict::allowed);
-  // What it tells counts all the same.
+  // Its evidence still counts towards the threshold.
   report("three");
-  CHECK(is_recorded_in_time());
+  CHECK(becomes_recorded());
 }
 
-TEST(quarantine_service_test, record_of_a_writer_that_is_gone_is_removed_once_it_is_judged) {
+TEST(quarantine_service_test, resolved_record_of_an_ended_writer_is_removed) {
   collectors = {self};
-  find_evidence_at_start(free_endpoint(address), "gone");
-  CHECK(is_recorded_after_cleaning());
-  CHECK(run_until([&] { return store.revision_of(evidence_record::key_of("former")) == 0; }));
+  load_evidence_at_startup(free_endpoint(address), "gone");
+  CHECK(becomes_recorded_while_cleaning());
+  CHECK(run_until([&] { return store.revision_of(evidence_record::key_of("previous")) == 0; }));
 }
 
-TEST(quarantine_service_test, sample_waits_until_what_is_known_of_it_is_stored) {
-  see_server_end("one", request);
+TEST(quarantine_service_test, sample_waits_until_its_evidence_is_stored) {
+  observe_crash("one", request);
   CHECK_FALSE(collector.should_wait(request, boot_clock::now()));
   store.set_down(true);
-  see_server_end("two", request);
+  observe_crash("two", request);
   CHECK(collector.should_wait(request, boot_clock::now()));
-  // Not for ever: the store may be out for seconds.
+  // The wait is bounded, since the store may be unavailable for seconds.
   CHECK_FALSE(collector.should_wait(request, boot_clock::now() + seconds(1)));
   store.set_down(false);
   CHECK(run_until([&] { return !collector.should_wait(request, boot_clock::now()); }));
 }
 
 TEST(quarantine_service_test, sample_waits_for_its_record_after_three_crashes) {
-  see_three_servers_end();
+  observe_three_crashes();
   CHECK(collector.should_wait(request, boot_clock::now()));
   CHECK_FALSE(collector.should_wait(request, boot_clock::now() + seconds(3)));
   collector.note_answer(request);
--- a/tests/unit/quarantine/report_outbox_test.cc
+++ b/tests/unit/quarantine/report_outbox_test.cc
@@ -1,4 +1,4 @@
-/// @file What each collector is told, and what it is told again.
+/// @file Which evidence each collector receives, also after its restart.
 
 #include "quarantine/report_outbox.h"
 
@@ -19,16 +19,16 @@
   void add(int number) {
     outbox.add({request_of(number), "s", start, start + milliseconds(number)});
   }
-  void tell(endpoint const& collector, std::string const& incarnation) {
-    outbox.note_told(collector, incarnation, outbox.next_report(collector).up_to);
+  void acknowledge(endpoint const& collector, std::string const& incarnation) {
+    outbox.note_reported(collector, incarnation, outbox.next_report(collector).last_number);
   }
 };
 
-TEST(report_outbox_test, each_collector_is_told_once) {
+TEST(report_outbox_test, each_collector_receives_evidence_once) {
   add(1);
   add(2);
   LONGS_EQUAL(2, outbox.next_report(first).evidence.size());
-  tell(first, "p");
+  acknowledge(first, "p");
   CHECK(!outbox.has_pending(first));
   CHECK(outbox.has_pending(second));
   add(3);
@@ -36,24 +36,24 @@
   LONGS_EQUAL(3, outbox.next_report(second).evidence.size());
 }
 
-TEST(report_outbox_test, collector_that_was_restarted_is_told_everything_again) {
+TEST(report_outbox_test, restarted_collector_receives_everything_again) {
   add(1);
-  tell(first, "p");
+  acknowledge(first, "p");
   add(2);
-  tell(first, "q");
+  acknowledge(first, "q");
   LONGS_EQUAL(2, outbox.next_report(first).evidence.size());
-  tell(first, "q");
+  acknowledge(first, "q");
   CHECK(!outbox.has_pending(first));
 }
 
-TEST(report_outbox_test, who_is_no_collector_any_more_is_told_anew_when_it_is_one) {
+TEST(report_outbox_test, returning_collector_receives_everything_again) {
   add(1);
-  tell(first, "p");
-  outbox.keep_collectors({second});
+  acknowledge(first, "p");
+  outbox.retain_collectors({second});
   CHECK(outbox.has_pending(first));
 }
 
-TEST(report_outbox_test, request_that_was_answered_is_not_told) {
+TEST(report_outbox_test, answered_request_is_not_reported) {
   add(1);
   add(2);
   outbox.clear(request_of(1));
@@ -63,19 +63,19 @@
   CHECK(!outbox.has_pending(first));
 }
 
-TEST(report_outbox_test, reports_and_what_is_kept_are_bounded) {
+TEST(report_outbox_test, report_size_and_retained_evidence_are_bounded) {
   for (int number = 0; number < 2000; ++number) add(number);
-  std::size_t told = 0;
+  std::size_t reported = 0;
   while (outbox.has_pending(first)) {
     auto const report = outbox.next_report(first);
-    CHECK(report.evidence.size() <= report_outbox::k_most_in_report);
-    told += report.evidence.size();
-    outbox.note_told(first, "p", report.up_to);
+    CHECK(report.evidence.size() <= report_outbox::k_max_report_size);
+    reported += report.evidence.size();
+    outbox.note_reported(first, "p", report.last_number);
   }
-  LONGS_EQUAL(report_outbox::k_most_entries, told);
+  LONGS_EQUAL(report_outbox::k_max_entries, reported);
 }
 
-TEST(report_outbox_test, what_was_seen_long_ago_is_dropped) {
+TEST(report_outbox_test, expired_evidence_is_dropped) {
   add(1);
   add(5);
   outbox.expire(start + milliseconds(1));
