--- a/src/config/sync.cc
+++ b/src/config/sync.cc
@@ -33,7 +33,7 @@
   for (auto const& listener : listeners_) listener();
 }
 
-void sync::apply_own(entry const& written) {
+void sync::apply_committed(entry const& written) {
   if (store_.apply(written) == apply_result::applied) notify();
 }
 
--- a/src/config/sync.h
+++ b/src/config/sync.h
@@ -22,7 +22,7 @@
   /// Runs after each change of the store.
   void on_change(std::function<void()> listener) { listeners_.push_back(std::move(listener)); }
   /// For changes that this node made itself and knows to be stored.
-  void apply_own(entry const& written);
+  void apply_committed(entry const& written);
   /// Answers a peer's request.
   rpc::FetchConfigResponseT answer_peer(rpc::FetchConfigRequestT const& request) const;
   /// Age of the last sign, own or by gossip, that the key-value service answers.
--- a/src/operators/service.cc
+++ b/src/operators/service.cc
@@ -211,7 +211,7 @@
   if (!answer) co_return kv_problem(answer.error());
   if (!answer.value().succeeded) co_return take_rival(wanted, answer.value());
   kv::revision const accepted = answer.value().store_revision;
-  sync_.apply_own({wanted.key, accepted, wanted.value, false});
+  sync_.apply_committed({wanted.key, accepted, wanted.value, false});
   log_line(log_level::info, k_part, "Accepted a change.",
            {{"key", wanted.key}, {"revision", accepted}});
   co_return make_change(rpc::ChangeOutcome::ACCEPTED, accepted, wanted.token);
@@ -223,7 +223,7 @@
   for (kv::key_value const& entry : answer.read) {
     if (entry.key != wanted.key) continue;
     rival = entry.mod_revision;
-    sync_.apply_own({entry.key, entry.mod_revision, entry.value, false});
+    sync_.apply_committed({entry.key, entry.mod_revision, entry.value, false});
   }
   return make_change(rpc::ChangeOutcome::CONFLICT, rival, {});
 }
@@ -235,7 +235,7 @@
     if (read && !read.value().entries.empty()) {
       kv::key_value const& entry = read.value().entries.front();
       if (has_token(entry.value, wanted.token)) {
-        sync_.apply_own({entry.key, entry.mod_revision, entry.value, false});
+        sync_.apply_committed({entry.key, entry.mod_revision, entry.value, false});
         co_return make_change(rpc::ChangeOutcome::ACCEPTED, entry.mod_revision, wanted.token);
       }
     }
--- a/src/ownership/keeper.cc
+++ b/src/ownership/keeper.cc
@@ -102,12 +102,12 @@
   bool const done = answer && answer.value().succeeded;
   if (!done) co_return;  // the watch tells what became of it
   log_line(log_level::info, k_part, "Gave a resource to another node.", {{"key", key}});
-  sync_.apply_own({key, answer.value().store_revision, {}, true});
+  sync_.apply_committed({key, answer.value().store_revision, {}, true});
 }
 
 void keeper::note_owned(std::string const& key, kv::revision epoch) {
   log_line(log_level::info, k_part, "Became owner.", {{"key", key}, {"epoch", epoch}});
-  sync_.apply_own({key, epoch, record_, false});
+  sync_.apply_committed({key, epoch, record_, false});
 }
 
 awaitable<void> keeper::acquire(acquisition wish) {
--- a/src/rollout/shard_batches.cc
+++ b/src/rollout/shard_batches.cc
@@ -220,7 +220,7 @@
     case delivery::commit_result::version_moved:
       if (answer.version_entry) {
         kv::key_value const& entry = *answer.version_entry;
-        dependencies_.config_sync.apply_own({entry.key, entry.mod_revision, entry.value, false});
+        dependencies_.config_sync.apply_committed({entry.key, entry.mod_revision, entry.value, false});
       }
       return std::nullopt;
     case delivery::commit_result::record_moved:
