--- a/src/rollout/service.h
+++ b/src/rollout/service.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "rollout/context.h"
+#include "rollout/node_dependencies.h"
 #include "rollout/shard_owner.h"
 #include "rpc/dispatcher.h"
 
--- a/src/rollout/shard_owner.h
+++ b/src/rollout/shard_owner.h
@@ -8,7 +8,7 @@
 
 #include "delivery/committer.h"
 #include "delivery/ledger.h"
-#include "rollout/context.h"
+#include "rollout/node_dependencies.h"
 #include "rollout/placement.h"
 #include "rollout/sample_table.h"
 #include "rpc/problem.h"
