--- a/src/bulk/client.cc
+++ b/src/bulk/client.cc
@@ -14,25 +14,25 @@
 constexpr milliseconds k_put_timeout{3000};
 constexpr milliseconds k_load_timeout{10'000};
 
-/// Puts what several disk nodes hold together, and counts the copies of each item.
-class copy_counter {
+/// Merges the content of several disk nodes and counts the replicas of each item.
+class replica_merger {
  public:
-  void take(rpc::LoadBulkResponseT part) {
+  void add(rpc::LoadBulkResponseT part) {
     for (auto& group : part.groups) {
-      auto& held = groups_[group->group];
-      ++held.copies;
-      if (!held.item) held.item = std::move(group);
+      auto& counted_item = groups_[group->group];
+      ++counted_item.copies;
+      if (!counted_item.item) counted_item.item = std::move(group);
     }
     for (auto& sample : part.samples) {
-      auto& held = samples_[{sample->group, sample->index, sample->attempt}];
-      ++held.copies;
-      if (!held.item) held.item = std::move(sample);
+      auto& counted_item = samples_[{sample->group, sample->index, sample->attempt}];
+      ++counted_item.copies;
+      if (!counted_item.item) counted_item.item = std::move(sample);
     }
   }
 
-  void finish(std::size_t wanted_copies, recovered_bulk& into) {
-    move_items(groups_, wanted_copies, into.content.groups, into.short_of_copies.groups);
-    move_items(samples_, wanted_copies, into.content.samples, into.short_of_copies.samples);
+  void finish(std::size_t required_copies, recovered_bulk& target) {
+    move_items(groups_, required_copies, target.content.groups, target.under_replicated.groups);
+    move_items(samples_, required_copies, target.content.samples, target.under_replicated.samples);
   }
 
  private:
@@ -50,12 +50,13 @@
   };
 
   template <class Key, class Item>
-  static void move_items(std::map<Key, counted<Item>>& from, std::size_t wanted_copies,
+  static void move_items(std::map<Key, counted<Item>>& from, std::size_t required_copies,
                          std::vector<std::unique_ptr<Item>>& all,
-                         std::vector<std::unique_ptr<Item>>& few) {
-    for (auto& [key, held] : from) {
-      if (held.copies < wanted_copies) few.push_back(std::make_unique<Item>(*held.item));
-      all.push_back(std::move(held.item));
+                         std::vector<std::unique_ptr<Item>>& under_replicated) {
+    for (auto& [key, counted_item] : from) {
+      if (counted_item.copies < required_copies)
+        under_replicated.push_back(std::make_unique<Item>(*counted_item.item));
+      all.push_back(std::move(counted_item.item));
     }
   }
 
@@ -71,8 +72,9 @@
   });
   if (candidates.size() < 2) return candidates;
   std::string const first_zone = candidates.front().zone;
-  auto const other_zone = std::find_if(candidates.begin() + 1, candidates.end(),
-                                       [&](replica const& one) { return one.zone != first_zone; });
+  auto const other_zone =
+      std::find_if(candidates.begin() + 1, candidates.end(),
+                   [&](replica const& candidate) { return candidate.zone != first_zone; });
   if (other_zone != candidates.end()) {
     std::rotate(candidates.begin() + 1, other_zone, other_zone + 1);
   }
@@ -89,19 +91,19 @@
   return replicas;
 }
 
-awaitable<bool> client::put_on(replica target, rpc::StoreBulkRequestT const& request) {
+awaitable<bool> client::store_on_replica(replica target, rpc::StoreBulkRequestT const& request) {
   if (target.node == self_.node) {
     auto const stored = local_->put(request);
     if (!stored) {
-      log_line(log_level::error, k_part, "Local store failed.",
+      log_line(log_level::error, k_part, "Writing to the local bulk store failed.",
                {{"error", stored.error().message()}});
     }
     co_return stored.has_value();
   }
-  auto const where = parse_endpoint(target.address);
-  if (!where) co_return false;
+  auto const target_endpoint = parse_endpoint(target.address);
+  if (!target_endpoint) co_return false;
   auto stored = co_await rpc::call<rpc::StoreBulkRequestT, rpc::StoreBulkResponseT>(
-      transport_, *where, "NodeService", "StoreBulk", request, k_put_timeout);
+      transport_, *target_endpoint, "NodeService", "StoreBulk", request, k_put_timeout);
   co_return stored.has_value();
 }
 
@@ -110,10 +112,10 @@
   std::vector<replica> const replicas = order_replicas(shard, live_replicas());
   std::size_t copies = 0;
   for (replica const& target : replicas) {
-    bool const stored = co_await put_on(target, request);
+    bool const stored = co_await store_on_replica(target, request);
     if (stored && ++copies == copies_) co_return true;
   }
-  log_line(log_level::warning, k_part, "Too few disk nodes took a copy.",
+  log_line(log_level::warning, k_part, "Too few disk nodes stored a replica.",
            {{"shard", shard}, {"copies", copies}, {"wanted", copies_}});
   co_return false;
 }
@@ -125,33 +127,33 @@
     if (!loaded) co_return std::nullopt;
     co_return std::move(loaded.value());
   }
-  auto const where = parse_endpoint(source.address);
-  if (!where) co_return std::nullopt;
+  auto const source_endpoint = parse_endpoint(source.address);
+  if (!source_endpoint) co_return std::nullopt;
   auto loaded = co_await rpc::call<rpc::LoadBulkRequestT, rpc::LoadBulkResponseT>(
-      transport_, *where, "NodeService", "LoadBulk", request, k_load_timeout);
+      transport_, *source_endpoint, "NodeService", "LoadBulk", request, k_load_timeout);
   if (!loaded) co_return std::nullopt;
   co_return std::move(loaded.value());
 }
 
 awaitable<recovered_bulk> client::load(std::string task, std::uint32_t shard) {
-  recovered_bulk all;
+  recovered_bulk recovered;
   rpc::LoadBulkRequestT request;
   request.task = std::move(task);
   request.shard = shard;
-  copy_counter counter;
+  replica_merger merger;
   for (replica const& source : live_replicas()) {
     auto part = co_await load_from(source, request);
     if (!part) {
-      ++all.replicas_failed;
+      ++recovered.replicas_failed;
       continue;
     }
-    ++all.replicas_read;
-    counter.take(std::move(*part));
+    ++recovered.replicas_read;
+    merger.add(std::move(*part));
   }
-  all.short_of_copies.task = request.task;
-  all.short_of_copies.shard = shard;
-  counter.finish(copies_, all);
-  co_return all;
+  recovered.under_replicated.task = request.task;
+  recovered.under_replicated.shard = shard;
+  merger.finish(copies_, recovered);
+  co_return recovered;
 }
 
 awaitable<void> client::forget(std::string task, std::uint32_t shard, std::uint64_t below) {
@@ -159,7 +161,7 @@
   request.task = std::move(task);
   request.shard = shard;
   request.forget_below = below;
-  for (replica const& target : live_replicas()) co_await put_on(target, request);
+  for (replica const& target : live_replicas()) co_await store_on_replica(target, request);
 }
 
 }  // namespace frostline::bulk
--- a/src/bulk/client.h
+++ b/src/bulk/client.h
@@ -1,4 +1,4 @@
-/// @file Keeps two copies of a shard's bulk data on disk nodes of different zones.
+/// @file Replicates a shard's bulk data to disk nodes, in different zones where possible.
 #pragma once
 
 #include <functional>
@@ -13,31 +13,32 @@
 
 namespace frostline::bulk {
 
-/// A disk node that may hold copies.
+/// A node with a data folder, which can store replicas.
 struct replica {
   std::string node;
   std::string zone;
   std::string address;
 };
 
-/// Disk nodes in the order in which they should hold copies of `shard`: rendezvous order, with the
-/// second one in another zone than the first where there is one. Pure.
+/// Sorts disk nodes by preference for storing `shard`: rendezvous order, but the second node is in
+/// a different zone than the first if possible.
 std::vector<replica> order_replicas(std::string const& shard, std::vector<replica> candidates);
 
-/// What a shard's owner learns from all disk nodes that answer.
+/// Bulk data of a shard, merged from all disk nodes that replied.
 struct recovered_bulk {
-  /// Each group and sample once.
+  /// Groups and samples without duplicates.
   rpc::LoadBulkResponseT content;
-  /// Those of them of which there were too few copies.
-  rpc::StoreBulkRequestT short_of_copies;
+  /// Groups and samples with fewer replicas than configured.
+  rpc::StoreBulkRequestT under_replicated;
   std::size_t replicas_read = 0;
   std::size_t replicas_failed = 0;
 };
 
 class client {
  public:
-  /// @param self this node as a replica; its address is empty if it has no disk.
-  /// @param copies how many disk nodes must hold everything.
+  /// @param self this node as a replica.
+  /// @param local the store of this node, or null if it has no data folder.
+  /// @param copies number of disk nodes that must store each item.
   client(http::client& transport, membership::table const& members, replica self, store* local,
          std::size_t copies)
       : transport_(transport),
@@ -46,18 +47,19 @@
         local_(local),
         copies_(copies) {}
 
-  /// Stores on as many disk nodes as there must be copies. @return whether they all did.
+  /// Stores the request on the configured number of disk nodes.
+  /// @return false if fewer disk nodes stored it.
   awaitable<bool> put(rpc::StoreBulkRequestT request);
-  /// Reads the shard from every disk node that answers.
+  /// Loads the shard from every live disk node and merges the results.
   awaitable<recovered_bulk> load(std::string task, std::uint32_t shard);
-  /// Tells every disk node what it may forget; without a guarantee.
+  /// Asks every live disk node to delete groups below `below`. Best effort.
   awaitable<void> forget(std::string task, std::uint32_t shard, std::uint64_t below);
 
  private:
   std::vector<replica> live_replicas() const;
   awaitable<std::optional<rpc::LoadBulkResponseT>> load_from(replica source,
                                                              rpc::LoadBulkRequestT const& request);
-  awaitable<bool> put_on(replica target, rpc::StoreBulkRequestT const& request);
+  awaitable<bool> store_on_replica(replica target, rpc::StoreBulkRequestT const& request);
 
   http::client& transport_;
   membership::table const& members_;
--- a/src/bulk/errc.h
+++ b/src/bulk/errc.h
@@ -6,11 +6,11 @@
 namespace frostline::bulk {
 
 enum class errc {
-  /// The data folder can't be opened or created.
-  can_not_open = 1,
-  /// Nothing was stored: the disk is full.
+  /// The data folder can't be created or its database can't be opened.
+  open_failed = 1,
+  /// The disk is full; the write was rolled back.
   disk_full,
-  /// Nothing was stored, or the read failed.
+  /// A read failed, or a write failed and was rolled back.
   storage_failed,
 };
 
@@ -18,7 +18,7 @@
 
 inline std::string describe(errc code) {
   switch (code) {
-    case errc::can_not_open:
+    case errc::open_failed:
       return "data folder can't be opened";
     case errc::disk_full:
       return "disk is full";
--- a/src/bulk/store.cc
+++ b/src/bulk/store.cc
@@ -67,17 +67,17 @@
   int bound_ = 0;
 };
 
-std::error_code run(statement& one) {
-  int const code = one.step();
+std::error_code run(statement& prepared) {
+  int const code = prepared.step();
   return code == SQLITE_DONE ? std::error_code() : from_sqlite(code);
 }
 
 template <class Record>
-std::error_code read_bodies(statement& query, std::vector<std::unique_ptr<Record>>& into) {
+std::error_code read_bodies(statement& query, std::vector<std::unique_ptr<Record>>& records) {
   int code = query.step();
   while (code == SQLITE_ROW) {
     auto record = rpc::decode<Record>(query.column_blob(0));
-    if (record) into.push_back(std::make_unique<Record>(std::move(*record)));
+    if (record) records.push_back(std::make_unique<Record>(std::move(*record)));
     code = query.step();
   }
   return code == SQLITE_DONE ? std::error_code() : from_sqlite(code);
@@ -88,15 +88,15 @@
 result<std::unique_ptr<store>> store::open(std::string const& folder) {
   boost::system::error_code failure;
   boost::filesystem::create_directories(folder, failure);
-  if (failure) return std::error_code(errc::can_not_open);
+  if (failure) return std::error_code(errc::open_failed);
   sqlite3* database = nullptr;
   std::string const path = folder + "/bulk.sqlite";
   if (sqlite3_open(path.c_str(), &database) != SQLITE_OK) {
     sqlite3_close(database);
-    return std::error_code(errc::can_not_open);
+    return std::error_code(errc::open_failed);
   }
   std::unique_ptr<store> opened(new store(database));
-  if (opened->execute(k_schema)) return std::error_code(errc::can_not_open);
+  if (opened->execute(k_schema)) return std::error_code(errc::open_failed);
   return opened;
 }
 
@@ -114,7 +114,7 @@
 
 result<std::uint32_t> store::put(rpc::StoreBulkRequestT const& request) {
   if (auto failure = execute("BEGIN")) return failure;
-  std::error_code failure = put_all(request);
+  std::error_code failure = put_contents(request);
   if (!failure) failure = execute("COMMIT");
   if (failure) {
     execute("ROLLBACK");
@@ -123,7 +123,7 @@
   return static_cast<std::uint32_t>(request.groups.size() + request.samples.size());
 }
 
-std::error_code store::put_all(rpc::StoreBulkRequestT const& request) {
+std::error_code store::put_contents(rpc::StoreBulkRequestT const& request) {
   for (auto const& group : request.groups) {
     statement put_group(database_, k_put_group);
     put_group.bind(request.task).bind(request.shard).bind(group->group);
--- a/src/bulk/store.h
+++ b/src/bulk/store.h
@@ -1,5 +1,5 @@
-/// @file What a disk node keeps below its data folder: submitted groups and finished samples of
-/// any shard, in SQLite. A torn write is rolled back when the store is opened.
+/// @file SQLite database in a node's data folder that stores submitted groups and finished samples.
+/// A torn write is rolled back when the database is opened.
 #pragma once
 
 #include <memory>
@@ -20,16 +20,17 @@
   store(store const&) = delete;
   store& operator=(store const&) = delete;
 
-  /// Stores all that the request holds, or nothing.
+  /// Applies the whole request in one transaction: inserts, then deletions below `forget_below`.
+  /// @return number of groups and samples stored.
   result<std::uint32_t> put(rpc::StoreBulkRequestT const& request);
-  /// Reads all that is held for a shard.
+  /// Loads all groups and samples of a shard.
   result<rpc::LoadBulkResponseT> load(std::string const& task, std::uint32_t shard);
-  /// For tests: SQLite's page limit stands for a full disk.
+  /// For tests: simulates a full disk by limiting the number of database pages.
   void limit_pages(int pages);
 
  private:
   explicit store(sqlite3* database) : database_(database) {}
-  std::error_code put_all(rpc::StoreBulkRequestT const& request);
+  std::error_code put_contents(rpc::StoreBulkRequestT const& request);
   std::error_code execute(char const* statement);
 
   sqlite3* database_;
--- a/src/config/store.cc
+++ b/src/config/store.cc
@@ -8,8 +8,8 @@
 namespace frostline::config {
 namespace {
 
-/// Updates one typed view if the entry's key lies below its prefix.
-/// @return nothing if it lies elsewhere, else whether the value could be read.
+/// Updates a typed view if the entry's key starts with its prefix.
+/// @return nullopt if it does not, false if the value can't be decoded.
 template <class Record>
 std::optional<bool> update(std::map<std::string, versioned<Record>>& view, std::string_view prefix,
                            entry const& incoming) {
@@ -34,11 +34,11 @@
 }  // namespace
 
 apply_result store::apply(entry const& incoming) {
-  auto const held = entries_.find(incoming.key);
-  if (held != entries_.end() && held->second.revision >= incoming.revision) {
+  auto const stored = entries_.find(incoming.key);
+  if (stored != entries_.end() && stored->second.revision >= incoming.revision) {
     return apply_result::older;
   }
-  // A value that can't be read leaves the one in force as it is.
+  // A malformed value does not replace the previous one.
   if (!update_view(incoming)) return apply_result::malformed;
   entries_[incoming.key] = incoming;
   highest_known_ = std::max(highest_known_, incoming.revision);
@@ -47,27 +47,27 @@
 }
 
 bool store::update_view(entry const& incoming) {
-  if (auto read = update(tasks_, k_tasks, incoming)) return *read;
-  if (auto read = update(versions_, k_versions, incoming)) return *read;
-  if (auto read = update(routes_, k_routes, incoming)) return *read;
-  if (auto read = update(drains_, k_drains, incoming)) return *read;
-  if (auto read = update(shard_owners_, k_shard_owners, incoming)) return *read;
-  if (auto read = update(engine_owners_, k_engine_owners, incoming)) return *read;
-  return true;  // a later release's key: kept and passed on, not understood
+  if (auto updated = update(tasks_, k_tasks, incoming)) return *updated;
+  if (auto updated = update(versions_, k_versions, incoming)) return *updated;
+  if (auto updated = update(routes_, k_routes, incoming)) return *updated;
+  if (auto updated = update(drains_, k_drains, incoming)) return *updated;
+  if (auto updated = update(shard_owners_, k_shard_owners, incoming)) return *updated;
+  if (auto updated = update(engine_owners_, k_engine_owners, incoming)) return *updated;
+  return true;  // keys of later releases are stored and sent to peers without being decoded
 }
 
 bool store::apply_snapshot(kv::range_answer const& snapshot) {
   if (snapshot.store_revision < highest_known_) return false;
   std::set<std::string> present;
-  for (kv::key_value const& read : snapshot.entries) {
-    present.insert(read.key);
-    apply({read.key, read.mod_revision, read.value, false});
+  for (kv::key_value const& pair : snapshot.entries) {
+    present.insert(pair.key);
+    apply({pair.key, pair.mod_revision, pair.value, false});
   }
-  std::vector<std::string> gone;
-  for (auto const& [key, held] : entries_) {
-    if (!held.deleted && !present.contains(key)) gone.push_back(key);
+  std::vector<std::string> removed_keys;
+  for (auto const& [key, stored] : entries_) {
+    if (!stored.deleted && !present.contains(key)) removed_keys.push_back(key);
   }
-  for (std::string const& key : gone) apply({key, snapshot.store_revision, {}, true});
+  for (std::string const& key : removed_keys) apply({key, snapshot.store_revision, {}, true});
   complete_ = true;
   advance(snapshot.store_revision);
   return true;
@@ -84,8 +84,8 @@
 
 std::vector<entry> store::entries_since(kv::revision revision) const {
   std::vector<entry> newer;
-  for (auto const& [key, held] : entries_) {
-    if (held.revision > revision) newer.push_back(held);
+  for (auto const& [key, stored] : entries_) {
+    if (stored.revision > revision) newer.push_back(stored);
   }
   return newer;
 }
--- a/src/config/store.h
+++ b/src/config/store.h
@@ -1,5 +1,5 @@
-/// @file The replicated configuration as one node holds it. Pure: entries go in by revision, in any
-/// order and from any source; a lower revision never replaces a higher one.
+/// @file A node's copy of the replicated configuration. No I/O. Entries may be applied in any order
+/// and from any source; an entry never replaces one with a higher revision.
 #pragma once
 
 #include <map>
@@ -14,14 +14,15 @@
 
 namespace frostline::config {
 
-/// A decoded record and the revision it has in the store.
+/// A decoded record and the revision at which it was last modified.
 template <class Record>
 struct versioned {
   Record record;
   kv::revision revision = 0;
 };
 
-/// One key as received. A deleted one stays as a tombstone, so that it can't come back.
+/// A key with its encoded value. A deleted key is kept as a tombstone, so that an older put cannot
+/// restore it.
 struct entry {
   std::string key;
   kv::revision revision = 0;
@@ -33,25 +34,24 @@
 
 class store {
  public:
-  /// Takes one entry in.
   apply_result apply(entry const& incoming);
-  /// Takes a read of the whole prefix in: what it lacks is deleted.
-  /// @return false, and nothing changes, if the read is older than what is already known.
+  /// Replaces the content with a snapshot of the whole prefix; keys that it lacks are deleted.
+  /// @return false if the snapshot is older than the highest known revision; it is then ignored.
   bool apply_snapshot(kv::range_answer const& snapshot);
 
-  /// The store is known to be complete up to this revision.
+  /// Records that the store contains all changes up to this revision.
   void advance(kv::revision complete_to);
   kv::revision revision() const { return revision_; }
-  /// Remembers that a peer holds `revision`, so that older reads are recognized as stale.
+  /// Records that a peer has `revision`, so that older snapshots are detected as stale.
   void note_peer_revision(kv::revision revision);
   kv::revision highest_known() const { return highest_known_; }
-  /// Whether the first whole read, from the service or a peer, has come.
+  /// Returns true once a full copy was received from the key-value service or a peer.
   bool is_complete() const { return complete_; }
-  /// For a peer's whole copy, applied entry by entry.
+  /// Marks the store as complete after a peer's full copy was applied entry by entry.
   void mark_complete() { complete_ = true; }
 
   std::vector<entry> entries_since(kv::revision revision) const;
-  /// Grows with each applied entry.
+  /// Number of entries applied so far.
   std::uint64_t change_count() const { return changes_; }
 
   using task_entry = versioned<rpc::TaskRecordT>;
@@ -70,10 +70,10 @@
   task_entry const* find_task(std::string const& name) const;
   owner_entry const* find_shard_owner(std::string const& name) const;
   owner_entry const* find_engine_owner(std::string const& engine) const;
-  /// Version published for a task; 0 before the first.
+  /// Returns the published version of a task, or 0 if none was published.
   std::uint64_t published_version(std::string const& task) const;
   kv::revision version_revision(std::string const& task) const;
-  /// The route with the longest prefix of `path`.
+  /// Returns the route whose prefix is the longest match for `path`, or null.
   route_entry const* match_route(std::string_view path) const;
 
  private:
--- a/src/config/sync.cc
+++ b/src/config/sync.cc
@@ -8,11 +8,12 @@
 namespace {
 
 constexpr std::string_view k_part = "config";
-constexpr milliseconds k_first_backoff{100};
-constexpr milliseconds k_longest_backoff{3000};
-constexpr milliseconds k_peer_tick{200};
+constexpr milliseconds k_initial_backoff{100};
+constexpr milliseconds k_max_backoff{3000};
+constexpr milliseconds k_peer_poll_interval{200};
 constexpr milliseconds k_peer_timeout{2000};
-constexpr milliseconds k_unknown_age{3'600'000};
+/// Upper limit of `kv_age`, also returned if no reply is known.
+constexpr milliseconds k_max_kv_age{3'600'000};
 
 }  // namespace
 
@@ -38,10 +39,10 @@
 }
 
 milliseconds sync::kv_age(time_point now) const {
-  time_point const known = std::max(service_.last_answer(), members_.kv_known_at());
-  if (known == time_point::min()) return k_unknown_age;
-  auto const age = std::chrono::duration_cast<milliseconds>(now - known);
-  return std::clamp(age, milliseconds(0), k_unknown_age);
+  time_point const last_answer = std::max(service_.last_answer(), members_.kv_known_at());
+  if (last_answer == time_point::min()) return k_max_kv_age;
+  auto const age = std::chrono::duration_cast<milliseconds>(now - last_answer);
+  return std::clamp(age, milliseconds(0), k_max_kv_age);
 }
 
 awaitable<bool> sync::read_snapshot() {
@@ -57,13 +58,13 @@
   co_return true;
 }
 
-bool sync::take_batch(kv::watch_batch const& batch) {
+bool sync::apply_watch_batch(kv::watch_batch const& batch) {
   if (batch.compacted) return false;
   for (kv::watch_event const& event : batch.events) {
     entry const incoming{event.entry.key, event.entry.mod_revision, event.entry.value,
                          event.deleted};
     if (store_.apply(incoming) == apply_result::malformed) {
-      log_line(log_level::error, k_part, "Kept the old value of an unreadable key.",
+      log_line(log_level::error, k_part, "Ignored a malformed value; keeping the previous one.",
                {{"key", incoming.key}, {"revision", incoming.revision}});
     }
   }
@@ -73,33 +74,33 @@
 }
 
 awaitable<void> sync::watch_loop() {
-  milliseconds backoff = k_first_backoff;
+  milliseconds backoff = k_initial_backoff;
   bool need_snapshot = true;
   while (true) {
     if (need_snapshot) {
       bool const read = co_await read_snapshot();
       if (!read) {
         co_await wait_for(with_jitter(backoff));
-        backoff = std::min(backoff * 2, k_longest_backoff);
+        backoff = std::min(backoff * 2, k_max_backoff);
         continue;
       }
     }
-    backoff = k_first_backoff;
+    backoff = k_initial_backoff;
     bool compacted = false;
     auto sink = [this, &compacted](kv::watch_batch const& batch) {
       compacted = batch.compacted;
-      return take_batch(batch);
+      return apply_watch_batch(batch);
     };
     std::error_code const ended =
         co_await service_.watch(std::string(k_replicated_prefix), store_.revision() + 1, sink);
     log_line(log_level::info, k_part, "Watch ended.", {{"cause", ended.message()}});
-    // A gap can't be told from an outage here: always read the whole prefix again.
+    // Events may have been missed, so the whole prefix is read again.
     need_snapshot = true;
     if (!compacted) co_await wait_for(with_jitter(backoff));
   }
 }
 
-std::string sync::peer_to_ask() const {
+std::string sync::select_peer() const {
   membership::member const* newest = members_.find(members_.newest_config_holder());
   bool const behind = members_.newest_config_revision() > store_.revision();
   if (behind && newest != nullptr && newest->is_alive()) return newest->update.http_address;
@@ -115,19 +116,19 @@
     time_point const now = boot_clock::now();
     store_.note_peer_revision(members_.newest_config_revision());
     members_.set_local_facts(store_.revision(), kv_age(now));
-    std::string const address = peer_to_ask();
+    std::string const address = select_peer();
     if (!address.empty()) co_await fetch_from_peer(address);
-    co_await wait_for(k_peer_tick);
+    co_await wait_for(k_peer_poll_interval);
   }
 }
 
 awaitable<void> sync::fetch_from_peer(std::string address) {
-  auto const where = parse_endpoint(address);
-  if (!where) co_return;
+  auto const peer_endpoint = parse_endpoint(address);
+  if (!peer_endpoint) co_return;
   rpc::FetchConfigRequestT request;
   request.since_revision = store_.is_complete() ? store_.revision() : 0;
   auto answer = co_await rpc::call<rpc::FetchConfigRequestT, rpc::FetchConfigResponseT>(
-      transport_, *where, "NodeService", "FetchConfig", request, k_peer_timeout);
+      transport_, *peer_endpoint, "NodeService", "FetchConfig", request, k_peer_timeout);
   if (!answer) co_return;
   std::uint64_t const before = store_.change_count();
   for (auto const& item : answer.value().entries) {
@@ -135,22 +136,22 @@
                          std::string(item->value.begin(), item->value.end()), item->deleted};
     store_.apply(incoming);
   }
-  if (answer.value().revision == 0) co_return;  // the peer knows no more than this node
+  if (answer.value().revision == 0) co_return;  // the peer's copy is not complete
   store_.mark_complete();
   store_.advance(answer.value().revision);
   if (store_.change_count() != before) notify();
 }
 
-rpc::FetchConfigResponseT sync::answer_peer(rpc::FetchConfigRequestT const& request) const {
+rpc::FetchConfigResponseT sync::handle_fetch(rpc::FetchConfigRequestT const& request) const {
   rpc::FetchConfigResponseT response;
   if (!store_.is_complete()) return response;
   response.revision = store_.revision();
-  for (entry const& held : store_.entries_since(request.since_revision)) {
+  for (entry const& stored : store_.entries_since(request.since_revision)) {
     auto item = std::make_unique<rpc::ConfigEntryT>();
-    item->key = held.key;
-    item->revision = held.revision;
-    item->value.assign(held.value.begin(), held.value.end());
-    item->deleted = held.deleted;
+    item->key = stored.key;
+    item->revision = stored.revision;
+    item->value.assign(stored.value.begin(), stored.value.end());
+    item->deleted = stored.deleted;
     response.entries.push_back(std::move(item));
   }
   return response;
--- a/src/config/sync.h
+++ b/src/config/sync.h
@@ -1,5 +1,5 @@
-/// @file Keeps the configuration store up to date: by a watch on the key-value service, and from
-/// peers that gossip a higher revision while the service does not answer.
+/// @file Keeps the configuration store up to date through a watch on the key-value service, and
+/// from peers that gossip a higher revision.
 #pragma once
 
 #include <functional>
@@ -19,13 +19,15 @@
        membership::table& members, store& target);
 
   void start();
-  /// Runs after each change of the store.
+  /// Adds a listener that is called after each change of the store.
   void on_change(std::function<void()> listener) { listeners_.push_back(std::move(listener)); }
-  /// For changes that this node made itself and knows to be stored.
+  /// Applies an entry that is known to be committed in the key-value service, without waiting for
+  /// the watch.
   void apply_committed(entry const& written);
-  /// Answers a peer's request.
-  rpc::FetchConfigResponseT answer_peer(rpc::FetchConfigRequestT const& request) const;
-  /// Age of the last sign, own or by gossip, that the key-value service answers.
+  /// Handles a peer's FetchConfig request. The response is empty if the store is not complete.
+  rpc::FetchConfigResponseT handle_fetch(rpc::FetchConfigRequestT const& request) const;
+  /// Returns the time since the key-value service last replied to this node or, according to
+  /// gossip, to another node.
   milliseconds kv_age(time_point now) const;
 
  private:
@@ -33,8 +35,8 @@
   awaitable<void> peer_loop();
   awaitable<bool> read_snapshot();
   awaitable<void> fetch_from_peer(std::string address);
-  bool take_batch(kv::watch_batch const& batch);
-  std::string peer_to_ask() const;
+  bool apply_watch_batch(kv::watch_batch const& batch);
+  std::string select_peer() const;
   void notify();
 
   asio::io_context& context_;
--- a/src/machines/machine_list.cc
+++ b/src/machines/machine_list.cc
@@ -60,17 +60,18 @@
 awaitable<void> machine_list::poll_loop() {
   while (true) {
     auto message = http::make_get("/v1/machines");
-    if (!tag_.empty()) message.set(http::field::if_none_match, tag_);
+    if (!etag_.empty()) message.set(http::field::if_none_match, etag_);
     auto answer = co_await transport_.exchange(service_, std::move(message), k_poll_timeout);
-    bool const fresh = answer && answer.value().result() == http::status::ok;
-    auto parsed = fresh ? parse_machine_list(answer.value().body()) : std::nullopt;
+    bool const modified = answer && answer.value().result() == http::status::ok;
+    auto parsed = modified ? parse_machine_list(answer.value().body()) : std::nullopt;
     if (parsed) {
       machines_ = std::move(*parsed);
-      tag_ = std::string(http::header(answer.value(), "ETag"));
+      etag_ = std::string(http::header(answer.value(), "ETag"));
       loaded_ = true;
       for (auto const& listener : listeners_) listener();
-    } else if (fresh) {
-      log_line(log_level::error, k_part, "Kept the old list: the new one can't be read.");
+    } else if (modified) {
+      log_line(log_level::error, k_part,
+               "Ignored a malformed machine list; keeping the previous one.");
     }
     co_await wait_for(k_poll_interval);
   }
--- a/src/machines/machine_list.h
+++ b/src/machines/machine_list.h
@@ -1,4 +1,4 @@
-/// @file The platform's list of machines, polled with conditional requests.
+/// @file Client of the platform's machine list, which it polls with conditional requests.
 #pragma once
 
 #include <functional>
@@ -17,12 +17,12 @@
   std::string id;
   machine_kind kind = machine_kind::other;
   endpoint address;
-  /// Nodes only.
+  /// Only set for nodes.
   std::string gossip_address;
   std::string zone;
   bool leaving = false;
   std::uint64_t incarnation = 0;
-  /// Engines: samples generated at once.
+  /// Only set for engines: number of samples generated concurrently.
   std::uint32_t slots = 0;
 
   bool operator==(machine const&) const = default;
@@ -30,8 +30,8 @@
 
 using machine_map = std::map<std::string, machine>;
 
-/// Reads the published JSON form. Machines without an identifier or address are left out.
-/// @return nothing if the text is not a list.
+/// Parses the platform's JSON document. Entries without a valid identifier and address are skipped.
+/// @return nullopt if the document has no list of machines.
 std::optional<machine_map> parse_machine_list(std::string const& json);
 
 class machine_list {
@@ -51,7 +51,7 @@
   http::client& transport_;
   endpoint service_;
   machine_map machines_;
-  std::string tag_;
+  std::string etag_;
   bool loaded_ = false;
   std::vector<std::function<void()>> listeners_;
 };
--- a/src/node/main.cc
+++ b/src/node/main.cc
@@ -1,4 +1,4 @@
-/// @file frostline: the node.
+/// @file Entry point of `frostline`, a rollout node: flags, settings and signal handling.
 
 #include <gflags/gflags.h>
 
@@ -46,38 +46,40 @@
   }
 }
 
-std::vector<settings_error> load(settings& all) {
+std::vector<settings_error> load(settings& node_settings) {
   std::vector<settings_error> errors;
-  if (!FLAGS_config.empty()) errors = frostline::node::read_settings(FLAGS_config, all);
-  override_text(FLAGS_id, all.id);
-  override_text(FLAGS_zone, all.zone);
-  override_text(FLAGS_data_folder, all.data_folder);
-  override_text(FLAGS_log_level, all.log_level);
-  override_endpoint(FLAGS_http, "http", all.listen, errors);
-  override_endpoint(FLAGS_gossip, "gossip", all.gossip, errors);
+  if (!FLAGS_config.empty()) errors = frostline::node::read_settings(FLAGS_config, node_settings);
+  override_text(FLAGS_id, node_settings.id);
+  override_text(FLAGS_zone, node_settings.zone);
+  override_text(FLAGS_data_folder, node_settings.data_folder);
+  override_text(FLAGS_log_level, node_settings.log_level);
+  override_endpoint(FLAGS_http, "http", node_settings.listen, errors);
+  override_endpoint(FLAGS_gossip, "gossip", node_settings.gossip, errors);
   if (!errors.empty()) return errors;
-  return frostline::node::check_settings(all, FLAGS_config.empty() ? "flags" : FLAGS_config);
+  return frostline::node::check_settings(node_settings,
+                                         FLAGS_config.empty() ? "flags" : FLAGS_config);
 }
 
 void print_settings() {
   std::cout << "| key | default | meaning |\n| --- | --- | --- |\n";
-  for (auto const& one : frostline::node::describe_settings()) {
-    std::cout << "| `" << one.key << "` | " << one.fallback << " | " << one.meaning << " |\n";
+  for (auto const& description : frostline::node::describe_settings()) {
+    std::cout << "| `" << description.key << "` | " << description.default_value << " | "
+              << description.meaning << " |\n";
   }
 }
 
-/// Runs a node until a planned stop has ended.
-int serve(settings all) {
+/// Runs a node until its planned stop has completed. @return the exit code.
+int serve(settings node_settings) {
   frostline::asio::io_context context(1);
-  frostline::node::node one(context, std::move(all));
-  std::string const failure = one.start();
+  frostline::node::node local_node(context, std::move(node_settings));
+  std::string const failure = local_node.start();
   if (!failure.empty()) {
     std::cerr << "frostline: can't start: " << failure << '\n';
     return 1;
   }
   frostline::asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](boost::system::error_code failed, int) {
-    if (!failed) one.stop([&context] { context.stop(); });
+    if (!failed) local_node.stop([&context] { context.stop(); });
   });
   context.run();
   return 0;
@@ -93,8 +95,8 @@
     print_settings();
     return 0;
   }
-  settings all;
-  auto const errors = load(all);
+  settings node_settings;
+  auto const errors = load(node_settings);
   for (settings_error const& error : errors) {
     std::cerr << "frostline: " << error.to_string() << '\n';
   }
@@ -103,6 +105,6 @@
     std::cout << "settings are good\n";
     return 0;
   }
-  frostline::start_logging(all.id, all.log_level);
-  return serve(std::move(all));
+  frostline::start_logging(node_settings.id, node_settings.log_level);
+  return serve(std::move(node_settings));
 }
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -17,32 +17,34 @@
 namespace {
 
 constexpr std::string_view k_part = "node";
-/// Silence of the key-value service, own or by gossip, after which a node looks at its peers.
-constexpr milliseconds k_kv_silence{2000};
-/// Silence of all nodes outside the zone after which a node takes itself to be cut off.
-constexpr milliseconds k_peer_silence{2000};
-/// Time in which callers and peers learn that a node leaves; it serves them meanwhile.
-constexpr milliseconds k_leave_notice{1500};
-constexpr milliseconds k_drain_poll{20};
+/// The key-value service counts as unreachable if neither this node nor, according to gossip, any
+/// other node has had a reply for this long.
+constexpr milliseconds k_kv_silence_timeout{2000};
+/// A node without the key-value service considers itself cut off if it hears from no node outside
+/// its zone for this long.
+constexpr milliseconds k_peer_silence_timeout{2000};
+/// Time for callers and peers to learn that the node is leaving; it continues to serve them.
+constexpr milliseconds k_leave_notice_wait{1500};
+constexpr milliseconds k_drain_poll_interval{20};
 constexpr milliseconds k_seed_interval{1000};
-constexpr milliseconds k_hand_over_margin{2000};
-constexpr std::string_view k_plain_text = "text/plain; version=0.0.4";
+constexpr milliseconds k_handover_margin{2000};
+constexpr std::string_view k_metrics_content_type = "text/plain; version=0.0.4";
 
-membership::member_update describe_self(settings const& all, std::uint64_t incarnation) {
+membership::member_update describe_self(settings const& node_settings, std::uint64_t incarnation) {
   membership::member_update self;
-  self.id = all.id;
-  self.zone = all.zone;
+  self.id = node_settings.id;
+  self.zone = node_settings.zone;
   self.incarnation = incarnation;
-  self.http_address = all.listen.to_string();
-  self.gossip_address = all.gossip.to_string();
-  self.bulk = !all.data_folder.empty();
+  self.http_address = node_settings.listen.to_string();
+  self.gossip_address = node_settings.gossip.to_string();
+  self.bulk = !node_settings.data_folder.empty();
   return self;
 }
 
 }  // namespace
 
 struct node::components {
-  components(asio::io_context& context, settings given);
+  components(asio::io_context& context, settings node_settings);
 
   std::string start();
   awaitable<void> stop(std::function<void()> on_stopped);
@@ -55,11 +57,11 @@
   http::response readiness() const;
   http::response metrics_page();
   void register_methods();
-  void take_machine_list();
-  void take_configuration();
-  void take_gossiped_leaving();
+  void apply_machine_list();
+  void apply_configuration();
+  void apply_gossiped_leaving();
   bool is_cut_off() const;
-  void describe(rpc::GetStatusResponseT& status);
+  void fill_status(rpc::GetStatusResponseT& status);
   awaitable<void> seed_loop();
   awaitable<void> wait_until_idle(time_point deadline);
   std::string listen();
@@ -80,7 +82,7 @@
   std::unique_ptr<bulk::store> bulk_store_;
   std::unique_ptr<bulk::client> bulk_;
   std::unique_ptr<ownership::keeper> keeper_;
-  std::unique_ptr<rollout::node_dependencies> rollout_parts_;
+  std::unique_ptr<rollout::node_dependencies> rollout_dependencies_;
   std::unique_ptr<rollout::service> rollout_;
   std::unique_ptr<operators::service> operators_;
   routing::metrics routing_metrics_{*registry_};
@@ -91,8 +93,8 @@
   std::unique_ptr<http::server> server_;
 };
 
-node::node(asio::io_context& context, settings all)
-    : components_(std::make_unique<components>(context, std::move(all))) {}
+node::node(asio::io_context& context, settings node_settings)
+    : components_(std::make_unique<components>(context, std::move(node_settings))) {}
 
 node::~node() = default;
 
@@ -104,8 +106,8 @@
 
 node_counters node::counters() const { return components_->counters(); }
 
-node::components::components(asio::io_context& context, settings given)
-    : settings_(std::move(given)), context_(context) {
+node::components::components(asio::io_context& context, settings node_settings)
+    : settings_(std::move(node_settings)), context_(context) {
   ownership::identity const self{settings_.id, incarnation_, settings_.zone};
   keeper_ = std::make_unique<ownership::keeper>(context_, kv_, config_, config_sync_, members_,
                                                 self, settings_.listen.to_string(),
@@ -113,7 +115,7 @@
   routing::proxy_hooks hooks;
   hooks.is_cut_off = [this] { return is_cut_off(); };
   hooks.is_leaving = [this](machines::machine const& server) {
-    take_gossiped_leaving();
+    apply_gossiped_leaving();
     return leaving_.is_leaving(server.id, server.incarnation, server.incarnation);
   };
   hooks.heard_leaving = [this](machines::machine const& server) {
@@ -123,7 +125,7 @@
                                             routing_metrics_, std::move(hooks));
   operators_ = std::make_unique<operators::service>(
       kv_, transport_, config_, config_sync_, members_, machines_,
-      [this](rpc::GetStatusResponseT& status) { describe(status); });
+      [this](rpc::GetStatusResponseT& status) { fill_status(status); });
   server_ = std::make_unique<http::server>(
       context_, settings_.limits,
       [this](http::request message) { return handle(std::move(message)); });
@@ -138,11 +140,12 @@
   bulk::replica const replica{settings_.id, settings_.zone, settings_.listen.to_string()};
   bulk_ = std::make_unique<bulk::client>(transport_, members_, replica, bulk_store_.get(),
                                          settings_.bulk_copies);
-  rollout_parts_ = std::make_unique<rollout::node_dependencies>(rollout::node_dependencies{
+  rollout_dependencies_ = std::make_unique<rollout::node_dependencies>(rollout::node_dependencies{
       context_, kv_, transport_, config_, config_sync_, members_, *keeper_, machines_, leaving_,
       *bulk_, settings_.zone, settings_.placement, settings_.listen.to_string(), nullptr,
       [this] { return is_cut_off(); }});
-  rollout_ = std::make_unique<rollout::service>(*rollout_parts_, leaving_, bulk_store_.get());
+  rollout_ =
+      std::make_unique<rollout::service>(*rollout_dependencies_, leaving_, bulk_store_.get());
   register_methods();
   std::string failure = server_->listen(settings_.listen);
   if (failure.empty()) failure = gossip_.start(settings_.gossip);
@@ -155,15 +158,15 @@
   methods_.add<rpc::FetchConfigRequestT, rpc::FetchConfigResponseT>(
       "NodeService", "FetchConfig",
       [this](rpc::FetchConfigRequestT request) -> awaitable<rpc::reply<rpc::FetchConfigResponseT>> {
-        co_return config_sync_.answer_peer(request);
+        co_return config_sync_.handle_fetch(request);
       });
 }
 
 std::string node::components::start() {
   std::string failure = listen();
   if (!failure.empty()) return failure;
-  config_sync_.on_change([this] { take_configuration(); });
-  machines_.on_change([this] { take_machine_list(); });
+  config_sync_.on_change([this] { apply_configuration(); });
+  machines_.on_change([this] { apply_machine_list(); });
   config_sync_.start();
   machines_.start();
   keeper_->start();
@@ -179,26 +182,26 @@
 }
 
 node_counters node::components::counters() const {
-  node_counters all;
-  all.gossip_bytes_sent = gossip_.traffic().bytes_sent;
-  all.gossip_bytes_received = gossip_.traffic().bytes_received;
-  all.http_bytes_sent = transport_.traffic().sent;
-  all.http_bytes_received = transport_.traffic().received;
-  all.kv_operations = kv_.operations();
-  all.config_revision = config_.revision();
-  all.members_alive = 1;
+  node_counters result;
+  result.gossip_bytes_sent = gossip_.traffic().bytes_sent;
+  result.gossip_bytes_received = gossip_.traffic().bytes_received;
+  result.http_bytes_sent = transport_.traffic().sent;
+  result.http_bytes_received = transport_.traffic().received;
+  result.kv_operations = kv_.operations();
+  result.config_revision = config_.revision();
+  result.members_alive = 1;
   for (auto const& [id, peer] : members_.members()) {
-    if (peer.is_alive()) ++all.members_alive;
+    if (peer.is_alive()) ++result.members_alive;
   }
   rpc::GetStatusResponseT status;
-  rollout_->describe(status);
-  all.engines_controlled = status.engines.size();
+  rollout_->fill_status(status);
+  result.engines_controlled = status.engines.size();
   for (auto const& engine : status.engines) {
     bool const ready = engine->state == to_string(engines::engine_state::ready);
-    if (ready && !engine->versions.empty()) ++all.engines_ready;
+    if (ready && !engine->versions.empty()) ++result.engines_ready;
   }
-  all.state = state_;
-  return all;
+  result.state = state_;
+  return result;
 }
 
 awaitable<http::response> node::components::handle(http::request message) {
@@ -241,24 +244,24 @@
   set("requests_in_flight", static_cast<double>(server_->in_flight()));
   prometheus::TextSerializer const serializer;
   return http::make_response(http::status::ok, serializer.Serialize(registry_->Collect()),
-                             k_plain_text);
+                             k_metrics_content_type);
 }
 
 bool node::components::is_cut_off() const {
   time_point const now = boot_clock::now();
   if (!members_.knows_other_members()) return false;
-  if (config_sync_.kv_age(now) < k_kv_silence) return false;
+  if (config_sync_.kv_age(now) < k_kv_silence_timeout) return false;
   time_point const heard = members_.last_heard_outside_zone();
-  // Never is not a time to subtract from: the difference would overflow to the past.
-  return heard == time_point::min() || now - heard > k_peer_silence;
+  // time_point::min() means never; subtracting it would overflow.
+  return heard == time_point::min() || now - heard > k_peer_silence_timeout;
 }
 
-void node::components::take_machine_list() {
+void node::components::apply_machine_list() {
   time_point const now = boot_clock::now();
   for (auto const& [id, machine] : machines_.machines()) {
     if (machine.leaving) {
       leaving_.mark(id, machine.incarnation, routing::leaving_source::machine_list);
-      // A list that flaps may show it to some nodes only.
+      // Other nodes may not see the entry if the list changes back quickly.
       members_.spread_leaving(id, machine.incarnation);
     }
     if (machine.kind != machines::machine_kind::node || machine.leaving) continue;
@@ -272,7 +275,7 @@
   rollout_->reconcile();
 }
 
-void node::components::take_configuration() {
+void node::components::apply_configuration() {
   for (auto const& [id, drain] : config_.drains()) {
     if (drain.record.leaving) {
       leaving_.mark(id, drain.record.incarnation, routing::leaving_source::operator_drain);
@@ -284,24 +287,25 @@
   rollout_->reconcile();
 }
 
-void node::components::take_gossiped_leaving() {
+void node::components::apply_gossiped_leaving() {
   for (auto const& [back_end, incarnation] : members_.leaving_back_ends()) {
     leaving_.mark(back_end, incarnation, routing::leaving_source::back_end);
   }
 }
 
-/// The machine list may name a node again that gossip has forgotten.
+/// Adds the machine list's nodes as gossip seeds again, since gossip may have dropped one that is
+/// still listed.
 awaitable<void> node::components::seed_loop() {
   while (state_ != node_state::stopped) {
     co_await wait_for(k_seed_interval);
-    take_machine_list();
+    apply_machine_list();
   }
 }
 
-void node::components::describe(rpc::GetStatusResponseT& status) {
-  take_gossiped_leaving();
-  status.kv_reachable = config_sync_.kv_age(boot_clock::now()) < k_kv_silence;
-  rollout_->describe(status);
+void node::components::fill_status(rpc::GetStatusResponseT& status) {
+  apply_gossiped_leaving();
+  status.kv_reachable = config_sync_.kv_age(boot_clock::now()) < k_kv_silence_timeout;
+  rollout_->fill_status(status);
   for (auto const& entry : leaving_.entries()) {
     auto item = std::make_unique<rpc::LeavingStatusT>();
     item->backend = entry.back_end;
@@ -315,11 +319,12 @@
   while (boot_clock::now() < deadline) {
     bool const idle = server_->in_flight() == 0 && rollout_->runs_in_flight() == 0;
     if (idle) co_return;
-    co_await wait_for(k_drain_poll);
+    co_await wait_for(k_drain_poll_interval);
   }
 }
 
-/// A planned stop: tell, hand over, finish what is in flight, and only then close.
+/// Planned stop: announces that the node is leaving, releases ownership, waits for requests and
+/// runs in flight, and then closes connections.
 awaitable<void> node::components::stop(std::function<void()> on_stopped) {
   if (state_ == node_state::draining) co_return;
   state_ = node_state::draining;
@@ -329,14 +334,14 @@
   server_->drain();
   gossip_.announce_leave();
   rollout_->stop_owners();
-  while (rollout_->owners_busy() && boot_clock::now() < deadline) {
-    co_await wait_for(k_drain_poll);
+  while (rollout_->has_busy_owners() && boot_clock::now() < deadline) {
+    co_await wait_for(k_drain_poll_interval);
   }
   co_await keeper_->release_all();
   gossip_.announce_leave();
-  co_await wait_for(k_leave_notice);
-  co_await wait_until_idle(deadline - k_hand_over_margin);
-  rollout_->give_up_runs();
+  co_await wait_for(k_leave_notice_wait);
+  co_await wait_until_idle(deadline - k_handover_margin);
+  rollout_->abandon_runs();
   co_await wait_until_idle(deadline);
   server_->close_listener();
   co_await wait_until_idle(deadline);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-/// @file One node: all its components, wired together; the only place that knows all of them.
+/// @file A node: creates all components and connects them.
 #pragma once
 
 #include <functional>
@@ -10,11 +10,11 @@
 
 namespace frostline::node {
 
-/// Lifecycle of a node. starting -> serving (configuration is complete) -> draining -> stopped;
-/// starting -> draining.
+/// Lifecycle of a node: starting -> serving (once the configuration is complete) -> draining ->
+/// stopped. A starting node may also go to draining.
 enum class node_state { starting, serving, draining, stopped };
 
-/// What a node has spent on control, and how far it knows the system.
+/// Control-plane traffic of a node and its view of the cluster.
 struct node_counters {
   std::uint64_t gossip_bytes_sent = 0;
   std::uint64_t gossip_bytes_received = 0;
@@ -24,19 +24,19 @@
   std::uint64_t config_revision = 0;
   std::uint64_t members_alive = 0;
   std::uint64_t engines_controlled = 0;
-  /// Controlled engines that hold all published versions.
+  /// Controlled engines that have loaded all versions published for them, at least one.
   std::uint64_t engines_ready = 0;
   node_state state = node_state::starting;
 };
 
 class node {
  public:
-  node(asio::io_context& context, settings all);
+  node(asio::io_context& context, settings node_settings);
   ~node();
 
-  /// Binds and starts everything. @return an error text; empty if it runs.
+  /// Binds the listeners and starts all components. @return an error message; empty on success.
   std::string start();
-  /// A planned stop; `on_stopped` runs at its end.
+  /// Begins a planned stop; `on_stopped` is called when it has completed.
   void stop(std::function<void()> on_stopped);
   node_counters counters() const;
 
--- a/src/node/settings.cc
+++ b/src/node/settings.cc
@@ -13,7 +13,8 @@
 namespace frostline::node {
 namespace {
 
-/// Takes one value in. @return why it is wrong, or an empty string.
+/// Parses a value and stores it in the settings.
+/// @return the reason why the value is invalid, or an empty string.
 using reader = std::function<std::string(toml::node const&, settings&)>;
 
 struct setting {
@@ -22,44 +23,44 @@
 };
 
 reader text(std::string settings::*member) {
-  return [member](toml::node const& value, settings& into) -> std::string {
+  return [member](toml::node const& value, settings& target) -> std::string {
     auto const found = value.value<std::string>();
     if (!found) return "must be text";
-    into.*member = *found;
+    target.*member = *found;
     return {};
   };
 }
 
 reader address(endpoint settings::*member) {
-  return [member](toml::node const& value, settings& into) -> std::string {
+  return [member](toml::node const& value, settings& target) -> std::string {
     auto const parsed = parse_endpoint(value.value_or<std::string>(""));
     if (!parsed) return "must be \"IP:port\" with a numeric IPv4 address";
-    into.*member = *parsed;
+    target.*member = *parsed;
     return {};
   };
 }
 
-std::string read_addresses(toml::node const& value, settings& into) {
+std::string read_addresses(toml::node const& value, settings& target) {
   auto const* list = value.as_array();
   if (list == nullptr || list->empty()) return "must be a list of \"IP:port\"";
-  into.kv.clear();
+  target.kv.clear();
   for (auto const& item : *list) {
     auto const parsed = parse_endpoint(item.value_or<std::string>(""));
     if (!parsed) return "must be a list of \"IP:port\" with numeric IPv4 addresses";
-    into.kv.push_back(*parsed);
+    target.kv.push_back(*parsed);
   }
   return {};
 }
 
-/// A number within [least, most], given to `take`.
-reader number(std::int64_t least, std::int64_t most,
-              std::function<void(settings&, std::int64_t)> take) {
-  return [=](toml::node const& value, settings& into) -> std::string {
+/// Returns a reader for integers in [minimum, maximum], which it passes to `assign`.
+reader number(std::int64_t minimum, std::int64_t maximum,
+              std::function<void(settings&, std::int64_t)> assign) {
+  return [=](toml::node const& value, settings& target) -> std::string {
     auto const found = value.value<std::int64_t>();
-    if (!found || *found < least || *found > most) {
-      return "must be a number from " + std::to_string(least) + " to " + std::to_string(most);
+    if (!found || *found < minimum || *found > maximum) {
+      return "must be a number from " + std::to_string(minimum) + " to " + std::to_string(maximum);
     }
-    take(into, *found);
+    assign(target, *found);
     return {};
   };
 }
@@ -82,54 +83,54 @@
       {{"rollout.bulk_copies", "2",
         "disk nodes that must hold submitted prompts and finished samples (1 to 5)"},
        number(1, 5,
-              [](settings& into, std::int64_t value) {
-                into.bulk_copies = static_cast<std::size_t>(value);
+              [](settings& target, std::int64_t value) {
+                target.bulk_copies = static_cast<std::size_t>(value);
               })},
       {{"stop.drain_seconds", "30", "longest time for a planned stop (1 to 3600)"},
        number(1, 3600,
-              [](settings& into, std::int64_t value) { into.drain_time = seconds(value); })},
+              [](settings& target, std::int64_t value) { target.drain_time = seconds(value); })},
       {{"limits.header_bytes", "16384", "largest request header (1024 to 1048576)"},
        number(1024, 1 << 20,
-              [](settings& into, std::int64_t value) {
-                into.limits.header_bytes = static_cast<std::size_t>(value);
+              [](settings& target, std::int64_t value) {
+                target.limits.header_bytes = static_cast<std::size_t>(value);
               })},
       {{"limits.body_bytes", "16777216", "largest request body (1024 to 268435456)"},
        number(1024, 256 << 20,
-              [](settings& into, std::int64_t value) {
-                into.limits.body_bytes = static_cast<std::size_t>(value);
+              [](settings& target, std::int64_t value) {
+                target.limits.body_bytes = static_cast<std::size_t>(value);
               })},
       {{"limits.connections", "4096", "connections at once (1 to 100000)"},
        number(1, 100'000,
-              [](settings& into, std::int64_t value) {
-                into.limits.connections = static_cast<std::size_t>(value);
+              [](settings& target, std::int64_t value) {
+                target.limits.connections = static_cast<std::size_t>(value);
               })},
       {{"limits.read_timeout_ms", "10000", "time for one whole request to arrive (100 to 600000)"},
        number(100, 600'000,
-              [](settings& into, std::int64_t value) {
-                into.limits.read_timeout = milliseconds(value);
+              [](settings& target, std::int64_t value) {
+                target.limits.read_timeout = milliseconds(value);
               })},
       {{"limits.idle_timeout_ms", "60000", "time an idle connection is kept (100 to 3600000)"},
        number(100, 3'600'000,
-              [](settings& into, std::int64_t value) {
-                into.limits.idle_timeout = milliseconds(value);
+              [](settings& target, std::int64_t value) {
+                target.limits.idle_timeout = milliseconds(value);
               })},
   };
   return all;
 }
 
 setting const* find_setting(std::string const& key) {
-  for (setting const& one : all_settings()) {
-    if (one.description.key == key) return &one;
+  for (setting const& entry : all_settings()) {
+    if (entry.description.key == key) return &entry;
   }
   return nullptr;
 }
 
 void read_section(std::string const& source, std::string const& section, toml::table const& values,
-                  settings& into, std::vector<settings_error>& errors) {
+                  settings& target, std::vector<settings_error>& errors) {
   for (auto const& [name, value] : values) {
     std::string const key = section + "." + std::string(name.str());
     setting const* known = find_setting(key);
-    std::string const reason = known == nullptr ? "unknown key" : known->read(value, into);
+    std::string const reason = known == nullptr ? "unknown key" : known->read(value, target);
     if (!reason.empty()) errors.push_back({source, key, reason});
   }
 }
@@ -139,46 +140,48 @@
 std::vector<setting_description> const& describe_settings() {
   static std::vector<setting_description> const descriptions = [] {
     std::vector<setting_description> all;
-    for (setting const& one : all_settings()) all.push_back(one.description);
+    for (setting const& entry : all_settings()) all.push_back(entry.description);
     return all;
   }();
   return descriptions;
 }
 
-std::vector<settings_error> read_settings(std::string const& path, settings& into) {
+std::vector<settings_error> read_settings(std::string const& path, settings& target) {
   std::vector<settings_error> errors;
   try {
     toml::table const file = toml::parse_file(path);
     for (auto const& [name, value] : file) {
       std::string const section(name.str());
       if (auto const* table = value.as_table()) {
-        read_section(path, section, *table, into, errors);
+        read_section(path, section, *table, target, errors);
       } else {
         errors.push_back({path, section, "unknown key"});
       }
     }
   } catch (toml::parse_error const& failure) {
-    std::ostringstream place;
-    place << "line " << failure.source().begin.line;
-    errors.push_back({path, place.str(), std::string(failure.description())});
+    std::ostringstream location;
+    location << "line " << failure.source().begin.line;
+    errors.push_back({path, location.str(), std::string(failure.description())});
   }
   return errors;
 }
 
-std::vector<settings_error> check_settings(settings const& all, std::string const& source) {
+std::vector<settings_error> check_settings(settings const& node_settings,
+                                           std::string const& source) {
   std::vector<settings_error> errors;
   auto const require = [&](bool holds, std::string key, std::string reason) {
     if (!holds) errors.push_back({source, std::move(key), std::move(reason)});
   };
-  require(!all.id.empty(), "node.id", "is missing");
-  require(!all.zone.empty(), "node.zone", "is missing");
-  require(!all.listen.address.empty(), "listen.http", "is missing");
-  require(!all.gossip.address.empty(), "listen.gossip", "is missing");
-  require(!all.kv.empty(), "platform.kv", "is missing");
-  require(!all.machines.address.empty(), "platform.machines", "is missing");
+  require(!node_settings.id.empty(), "node.id", "is missing");
+  require(!node_settings.zone.empty(), "node.zone", "is missing");
+  require(!node_settings.listen.address.empty(), "listen.http", "is missing");
+  require(!node_settings.gossip.address.empty(), "listen.gossip", "is missing");
+  require(!node_settings.kv.empty(), "platform.kv", "is missing");
+  require(!node_settings.machines.address.empty(), "platform.machines", "is missing");
   std::set<std::string> const levels = {"debug", "info", "warning", "error"};
-  require(levels.contains(all.log_level), "log.level", "must be debug, info, warning or error");
-  bool const known_policy = rollout::make_placement_policy(all.placement, 0) != nullptr;
+  require(levels.contains(node_settings.log_level), "log.level",
+          "must be debug, info, warning or error");
+  bool const known_policy = rollout::make_placement_policy(node_settings.placement, 0) != nullptr;
   require(known_policy, "rollout.placement",
           "must be round_robin, least_loaded or prefix_affinity");
   return errors;
--- a/src/node/settings.h
+++ b/src/node/settings.h
@@ -1,4 +1,4 @@
-/// @file Settings of a node: a TOML file, overridden by flags, checked as a whole.
+/// @file Settings of a node, read from a TOML file and validated after flags were applied.
 #pragma once
 
 #include <string>
@@ -12,13 +12,13 @@
 struct settings {
   std::string id;
   std::string zone;
-  /// Where this node serves callers, trainers, operators and other nodes.
+  /// HTTP address for callers, trainers, operators and other nodes.
   endpoint listen;
-  /// Where it gossips (UDP).
+  /// UDP address for gossip.
   endpoint gossip;
   std::vector<endpoint> kv;
   endpoint machines;
-  /// Empty: this node keeps nothing.
+  /// Empty if this node stores no bulk data.
   std::string data_folder;
   std::string log_level = "info";
   std::string placement = "prefix_affinity";
@@ -27,9 +27,9 @@
   http::server_limits limits;
 };
 
-/// One fault in the settings.
+/// A validation error.
 struct settings_error {
-  /// File, or "flags".
+  /// Path of the settings file, or "flags".
   std::string source;
   std::string key;
   std::string reason;
@@ -37,20 +37,23 @@
   std::string to_string() const { return source + ": " + key + ": " + reason; }
 };
 
-/// What one key is for; the operators' page is checked against this table.
+/// Documentation of a key; the operator documentation is checked against these descriptions.
 struct setting_description {
   std::string_view key;
-  std::string_view fallback;
+  std::string_view default_value;
   std::string_view meaning;
 };
 
 std::vector<setting_description> const& describe_settings();
 
 /// Reads a settings file. Unknown keys are errors.
-/// @param into holds what could be read. @return all faults found.
-std::vector<settings_error> read_settings(std::string const& path, settings& into);
-
-/// Checks what no single key shows. @param source named in the errors.
-std::vector<settings_error> check_settings(settings const& all, std::string const& source);
+/// @param target receives all valid values, even if others are invalid.
+/// @return all errors found.
+std::vector<settings_error> read_settings(std::string const& path, settings& target);
+
+/// Checks required values and values with a fixed set of choices.
+/// @param source file name or "flags", used in the errors.
+std::vector<settings_error> check_settings(settings const& node_settings,
+                                           std::string const& source);
 
 }  // namespace frostline::node
--- a/src/operators/service.cc
+++ b/src/operators/service.cc
@@ -11,21 +11,22 @@
 namespace {
 
 constexpr std::string_view k_part = "operators";
-constexpr milliseconds k_kv_retry{1000};
+constexpr milliseconds k_kv_retry_after{1000};
 constexpr milliseconds k_peer_timeout{1000};
-/// A node may be behind by several versions that others publish meanwhile.
+/// Retries of a publication that conflicts because other nodes published older versions.
 constexpr std::uint32_t k_publish_retries = 3;
-constexpr int k_read_back_tries = 5;
-constexpr milliseconds k_read_back_pause{100};
-constexpr std::size_t k_longest_name = 64;
-constexpr std::uint32_t k_largest_batch = 4096;
-constexpr std::uint32_t k_most_shards = 64;
-constexpr std::uint32_t k_longest_deadline_ms = 600'000;
+constexpr int k_read_back_attempts = 5;
+constexpr milliseconds k_read_back_interval{100};
+constexpr std::size_t k_max_name_length = 64;
+constexpr std::uint32_t k_max_batch_size = 4096;
+constexpr std::uint32_t k_max_shards = 64;
+constexpr std::uint32_t k_max_deadline_ms = 600'000;
 
 bool is_name(std::string const& text) {
-  if (text.empty() || text.size() > k_longest_name) return false;
-  return std::all_of(text.begin(), text.end(), [](char one) {
-    return std::isalnum(static_cast<unsigned char>(one)) != 0 || one == '-' || one == '_';
+  if (text.empty() || text.size() > k_max_name_length) return false;
+  return std::all_of(text.begin(), text.end(), [](char character) {
+    return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '-' ||
+           character == '_';
   });
 }
 
@@ -34,7 +35,7 @@
 }
 
 rpc::problem kv_problem(std::error_code error) {
-  return rpc::unavailable(rpc::reason::kv_unavailable, error.message(), k_kv_retry);
+  return rpc::unavailable(rpc::reason::kv_unavailable, error.message(), k_kv_retry_after);
 }
 
 rpc::problem not_found(std::string detail) {
@@ -57,9 +58,9 @@
   return found == view.end() ? 0 : found->second.revision;
 }
 
-/// The revision to compare: the caller's, or else the one that this node knows.
-kv::revision expected_revision(std::int64_t wanted, kv::revision known) {
-  return wanted < 0 ? known : static_cast<kv::revision>(wanted);
+/// Returns the revision that the caller expects, or `known_revision` if the caller gave none.
+kv::revision expected_revision(std::int64_t requested, kv::revision known_revision) {
+  return requested < 0 ? known_revision : static_cast<kv::revision>(requested);
 }
 
 }  // namespace
@@ -67,10 +68,10 @@
 std::string check_task(rpc::TaskRecordT const& task, rpc::TaskRecordT const* existing) {
   if (!is_name(task.name)) return "task.name: must be 1 to 64 letters, digits, '-' or '_'";
   if (!is_name(task.model)) return "task.model: must be 1 to 64 letters, digits, '-' or '_'";
-  if (task.batch_size == 0 || task.batch_size > k_largest_batch) {
+  if (task.batch_size == 0 || task.batch_size > k_max_batch_size) {
     return "task.batch_size: must be 1 to 4096";
   }
-  if (task.shards == 0 || task.shards > k_most_shards) return "task.shards: must be 1 to 64";
+  if (task.shards == 0 || task.shards > k_max_shards) return "task.shards: must be 1 to 64";
   if (!task.scorer.empty() && !parse_endpoint(task.scorer)) return "task.scorer: must be IP:port";
   if (existing != nullptr && existing->shards != task.shards) {
     return "task.shards: can't change once the task exists";
@@ -85,7 +86,7 @@
     return "route.path_prefix: /rpc/v1/ is frostline's own";
   }
   if (route.backends.empty()) return "route.backends: is empty";
-  if (route.deadline_ms == 0 || route.deadline_ms > k_longest_deadline_ms) {
+  if (route.deadline_ms == 0 || route.deadline_ms > k_max_deadline_ms) {
     return "route.deadline_ms: must be 1 to 600000";
   }
   if (route.max_concurrent == 0) return "route.max_concurrent: must be above 0";
@@ -127,59 +128,60 @@
   if (!request.task) co_return rpc::bad_request("task: is missing");
   rpc::TaskRecordT& task = *request.task;
   auto const* existing = store_.find_task(task.name);
-  std::string const fault = check_task(task, existing == nullptr ? nullptr : &existing->record);
-  if (!fault.empty()) co_return rpc::bad_request(fault);
+  std::string const error = check_task(task, existing == nullptr ? nullptr : &existing->record);
+  if (!error.empty()) co_return rpc::bad_request(error);
   task.change_token = make_unique_token();
-  kv::revision const known = revision_of(store_.tasks(), task.name);
-  change wanted{config::key_of(config::k_tasks, task.name), rpc::encode(task), task.change_token,
-                expected_revision(request.expected_revision, known)};
-  co_return co_await write(std::move(wanted));
+  kv::revision const known_revision = revision_of(store_.tasks(), task.name);
+  change pending{config::key_of(config::k_tasks, task.name), rpc::encode(task), task.change_token,
+                 expected_revision(request.expected_revision, known_revision)};
+  co_return co_await write(std::move(pending));
 }
 
 awaitable<service::change_reply> service::publish(rpc::PublishVersionRequestT request) {
   if (store_.find_task(request.task) == nullptr) co_return not_found("no such task");
-  auto reply = co_await publish_once(request);
-  for (std::uint32_t again = 0; again < k_publish_retries; ++again) {
+  auto reply = co_await try_publish(request);
+  for (std::uint32_t retry = 0; retry < k_publish_retries; ++retry) {
     bool const conflict = reply && reply.value().outcome == rpc::ChangeOutcome::CONFLICT;
-    // The conflict has shown what this node had not heard of. An older version is no rival.
+    // The conflict has updated the local copy. If the published version is still older than the
+    // requested one, the publication can be retried.
     bool const was_behind = store_.published_version(request.task) < request.version;
     if (!conflict || !was_behind) break;
-    reply = co_await publish_once(request);
+    reply = co_await try_publish(request);
   }
   co_return reply;
 }
 
-awaitable<service::change_reply> service::publish_once(rpc::PublishVersionRequestT request) {
+awaitable<service::change_reply> service::try_publish(rpc::PublishVersionRequestT request) {
   std::uint64_t const published = store_.published_version(request.task);
-  kv::revision const known = store_.version_revision(request.task);
+  kv::revision const known_revision = store_.version_revision(request.task);
   if (request.version == published && published > 0) {
     bool const same = store_.versions().at(request.task).record.weights == request.weights;
     auto const outcome = same ? rpc::ChangeOutcome::ACCEPTED : rpc::ChangeOutcome::CONFLICT;
-    co_return make_change(outcome, known, {});
+    co_return make_change(outcome, known_revision, {});
   }
   if (request.version < published) {
-    co_return make_change(rpc::ChangeOutcome::CONFLICT, known, {});
+    co_return make_change(rpc::ChangeOutcome::CONFLICT, known_revision, {});
   }
   rpc::VersionRecordT record;
   record.task = request.task;
   record.version = request.version;
   record.weights = request.weights;
   record.change_token = make_unique_token();
-  change wanted{config::key_of(config::k_versions, request.task), rpc::encode(record),
-                record.change_token, known};
-  co_return co_await write(std::move(wanted));
+  change pending{config::key_of(config::k_versions, request.task), rpc::encode(record),
+                 record.change_token, known_revision};
+  co_return co_await write(std::move(pending));
 }
 
 awaitable<service::change_reply> service::put_route(rpc::PutRouteRequestT request) {
   if (!request.route) co_return rpc::bad_request("route: is missing");
   rpc::RouteRecordT& route = *request.route;
-  std::string const fault = check_route(route);
-  if (!fault.empty()) co_return rpc::bad_request(fault);
+  std::string const error = check_route(route);
+  if (!error.empty()) co_return rpc::bad_request(error);
   route.change_token = make_unique_token();
-  kv::revision const known = revision_of(store_.routes(), route.name);
-  change wanted{config::key_of(config::k_routes, route.name), rpc::encode(route),
-                route.change_token, expected_revision(request.expected_revision, known)};
-  co_return co_await write(std::move(wanted));
+  kv::revision const known_revision = revision_of(store_.routes(), route.name);
+  change pending{config::key_of(config::k_routes, route.name), rpc::encode(route),
+                 route.change_token, expected_revision(request.expected_revision, known_revision)};
+  co_return co_await write(std::move(pending));
 }
 
 awaitable<service::change_reply> service::set_drain(rpc::SetDrainRequestT request) {
@@ -190,60 +192,61 @@
   record.incarnation = request.incarnation == 0 ? machine->incarnation : request.incarnation;
   record.leaving = request.leaving;
   record.change_token = make_unique_token();
-  change wanted{config::key_of(config::k_drains, request.backend), rpc::encode(record),
-                record.change_token, revision_of(store_.drains(), request.backend)};
-  co_return co_await write(std::move(wanted));
+  change pending{config::key_of(config::k_drains, request.backend), rpc::encode(record),
+                 record.change_token, revision_of(store_.drains(), request.backend)};
+  co_return co_await write(std::move(pending));
 }
 
-awaitable<service::change_reply> service::write(change wanted) {
+awaitable<service::change_reply> service::write(change pending) {
   if (!store_.is_complete()) {
     co_return rpc::unavailable(rpc::reason::not_ready, "this node has no configuration yet",
-                               k_kv_retry);
+                               k_kv_retry_after);
   }
   kv::transaction transaction;
-  transaction.compares.push_back({wanted.key, wanted.expected});
-  transaction.on_success.push_back({kv::operation_kind::put, wanted.key, wanted.value, 0});
-  transaction.read_on_failure.push_back(wanted.key);
+  transaction.compares.push_back({pending.key, pending.expected});
+  transaction.on_success.push_back({kv::operation_kind::put, pending.key, pending.value, 0});
+  transaction.read_on_failure.push_back(pending.key);
   auto answer = co_await kv_.apply(std::move(transaction));
   if (!answer && answer.error() == kv::errc::outcome_unknown) {
-    co_return co_await resolve(std::move(wanted));
+    co_return co_await resolve_outcome(std::move(pending));
   }
   if (!answer) co_return kv_problem(answer.error());
-  if (!answer.value().succeeded) co_return take_rival(wanted, answer.value());
+  if (!answer.value().succeeded) co_return apply_conflicting_write(pending, answer.value());
   kv::revision const accepted = answer.value().store_revision;
-  sync_.apply_committed({wanted.key, accepted, wanted.value, false});
-  log_line(log_level::info, k_part, "Accepted a change.",
-           {{"key", wanted.key}, {"revision", accepted}});
-  co_return make_change(rpc::ChangeOutcome::ACCEPTED, accepted, wanted.token);
+  sync_.apply_committed({pending.key, accepted, pending.value, false});
+  log_line(log_level::info, k_part, "Configuration change accepted.",
+           {{"key", pending.key}, {"revision", accepted}});
+  co_return make_change(rpc::ChangeOutcome::ACCEPTED, accepted, pending.token);
 }
 
-service::change_reply service::take_rival(change const& wanted,
-                                          kv::transaction_answer const& answer) {
-  kv::revision rival = 0;
+service::change_reply service::apply_conflicting_write(change const& pending,
+                                                       kv::transaction_answer const& answer) {
+  kv::revision conflicting_revision = 0;
   for (kv::key_value const& entry : answer.read) {
-    if (entry.key != wanted.key) continue;
-    rival = entry.mod_revision;
+    if (entry.key != pending.key) continue;
+    conflicting_revision = entry.mod_revision;
     sync_.apply_committed({entry.key, entry.mod_revision, entry.value, false});
   }
-  return make_change(rpc::ChangeOutcome::CONFLICT, rival, {});
+  return make_change(rpc::ChangeOutcome::CONFLICT, conflicting_revision, {});
 }
 
-/// After a lost answer the stored token says whose write is in force.
-awaitable<service::change_reply> service::resolve(change wanted) {
-  for (int attempt = 0; attempt < k_read_back_tries; ++attempt) {
-    auto read = co_await kv_.range(wanted.key);
+/// Determines the outcome of a write whose reply was lost, by its token in the stored value.
+awaitable<service::change_reply> service::resolve_outcome(change pending) {
+  for (int attempt = 0; attempt < k_read_back_attempts; ++attempt) {
+    auto read = co_await kv_.range(pending.key);
     if (read && !read.value().entries.empty()) {
       kv::key_value const& entry = read.value().entries.front();
-      if (has_token(entry.value, wanted.token)) {
+      if (has_token(entry.value, pending.token)) {
         sync_.apply_committed({entry.key, entry.mod_revision, entry.value, false});
-        co_return make_change(rpc::ChangeOutcome::ACCEPTED, entry.mod_revision, wanted.token);
+        co_return make_change(rpc::ChangeOutcome::ACCEPTED, entry.mod_revision, pending.token);
       }
     }
     if (read) break;
-    co_await wait_for(k_read_back_pause);
+    co_await wait_for(k_read_back_interval);
   }
-  log_line(log_level::warning, k_part, "Outcome of a change is unknown.", {{"key", wanted.key}});
-  co_return make_change(rpc::ChangeOutcome::UNKNOWN, 0, wanted.token);
+  log_line(log_level::warning, k_part, "Outcome of a configuration change is unknown.",
+           {{"key", pending.key}});
+  co_return make_change(rpc::ChangeOutcome::UNKNOWN, 0, pending.token);
 }
 
 void service::add_configuration(rpc::GetStatusResponseT& status) const {
@@ -277,7 +280,7 @@
   for (auto const& [id, peer] : members_.members()) add(peer.update);
 }
 
-/// Engines that the machine list names and no node that answered controls.
+/// Adds engines of the machine list that no reachable node controls.
 void service::add_uncontrolled_engines(rpc::GetStatusResponseT& status) const {
   std::set<std::string> controlled;
   for (auto const& engine : status.engines) controlled.insert(engine->id);
@@ -301,10 +304,10 @@
   rpc::GetStatusRequestT request;
   request.local_only = true;
   for (std::string const& address : addresses) {
-    auto const where = parse_endpoint(address);
-    if (!where) continue;
+    auto const peer_endpoint = parse_endpoint(address);
+    if (!peer_endpoint) continue;
     auto answer = co_await rpc::call<rpc::GetStatusRequestT, rpc::GetStatusResponseT>(
-        transport_, *where, "OperatorService", "GetStatus", request, k_peer_timeout);
+        transport_, *peer_endpoint, "OperatorService", "GetStatus", request, k_peer_timeout);
     if (!answer) continue;
     auto& part = answer.value();
     std::move(part.engines.begin(), part.engines.end(), std::back_inserter(status.engines));
--- a/src/operators/service.h
+++ b/src/operators/service.h
@@ -1,4 +1,4 @@
-/// @file The operators' methods: changes of configuration by compare-and-swap, and the status.
+/// @file RPC methods for operators: configuration changes by compare-and-swap, and the status.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,14 @@
 
 namespace frostline::operators {
 
-/// Faults of a record that an operator sends; an empty text stands for none. Pure.
+/// Validate a record sent by an operator. Return an error message, or an empty string if it is
+/// valid.
 std::string check_task(rpc::TaskRecordT const& task, rpc::TaskRecordT const* existing);
 std::string check_route(rpc::RouteRecordT const& route);
 
 class service {
  public:
-  /// @param describe_local adds what only this node knows to a status.
+  /// @param describe_local adds the state that only this node has to a status response.
   service(kv::client& kv_service, http::client& transport, config::store const& store,
           config::sync& sync, membership::table const& members,
           machines::machine_list const& machines,
@@ -33,7 +34,7 @@
   using change_reply = rpc::reply<rpc::ChangeResponseT>;
   using status_reply = rpc::reply<rpc::GetStatusResponseT>;
 
-  /// One write of a record.
+  /// A write of one record, accepted only if its key still has the expected revision.
   struct change {
     std::string key;
     std::string value;
@@ -43,14 +44,14 @@
 
   awaitable<change_reply> put_task(rpc::PutTaskRequestT request);
   awaitable<change_reply> publish(rpc::PublishVersionRequestT request);
-  awaitable<change_reply> publish_once(rpc::PublishVersionRequestT request);
+  awaitable<change_reply> try_publish(rpc::PublishVersionRequestT request);
   awaitable<change_reply> put_route(rpc::PutRouteRequestT request);
   awaitable<change_reply> set_drain(rpc::SetDrainRequestT request);
   awaitable<status_reply> status(rpc::GetStatusRequestT request);
 
-  awaitable<change_reply> write(change wanted);
-  awaitable<change_reply> resolve(change wanted);
-  change_reply take_rival(change const& wanted, kv::transaction_answer const& answer);
+  awaitable<change_reply> write(change pending);
+  awaitable<change_reply> resolve_outcome(change pending);
+  change_reply apply_conflicting_write(change const& pending, kv::transaction_answer const& answer);
   void add_configuration(rpc::GetStatusResponseT& status) const;
   void add_nodes(rpc::GetStatusResponseT& status) const;
   void add_uncontrolled_engines(rpc::GetStatusResponseT& status) const;
--- a/src/rollout/node_dependencies.h
+++ b/src/rollout/node_dependencies.h
@@ -1,4 +1,4 @@
-/// @file What the rollout services of one node need from its other parts.
+/// @file References that the rollout service takes from the other components of a node.
 #pragma once
 
 #include <functional>
@@ -19,10 +19,10 @@
 
 namespace frostline::rollout {
 
-/// References to the node's parts; they outlive the services.
+/// Components of the node; they must outlive the rollout service.
 struct node_dependencies {
   asio::io_context& context;
-  kv::client& service;
+  kv::client& kv_client;
   http::client& transport;
   config::store const& config;
   config::sync& config_sync;
@@ -34,9 +34,9 @@
   std::string zone;
   std::string placement;
   std::string address;
-  /// The controller of an engine that this node owns, or null.
+  /// Returns the controller of an engine that this node owns, or null.
   std::function<std::shared_ptr<engines::controller>(std::string const&)> local_controller;
-  /// Whether this node may be cut off and must send nothing new.
+  /// Returns true if this node may be partitioned from the cluster and must start no new work.
   std::function<bool()> is_cut_off;
 };
 
--- a/src/rollout/placement.cc
+++ b/src/rollout/placement.cc
@@ -7,7 +7,7 @@
 namespace frostline::rollout {
 namespace {
 
-/// Above this share of its slots an engine is too busy for affinity to outweigh its load.
+/// Share of used slots from which load takes precedence over prefix affinity.
 constexpr double k_affinity_load_limit = 0.75;
 
 double load_of(engine_view const& engine) {
@@ -25,7 +25,8 @@
   std::size_t next_ = 0;
 };
 
-/// The least loaded engine; among equals a random one, so that owners do not herd.
+/// Chooses the least loaded engine. Ties are broken at random, so that the owners of different
+/// shards do not all choose the same engine.
 class least_loaded final : public placement_policy {
  public:
   explicit least_loaded(std::uint64_t seed) : random_(seed) {}
@@ -45,7 +46,8 @@
   std::mt19937_64 random_;
 };
 
-/// The engine that the group's prompt hashes to while it is not busy, else the least loaded one.
+/// Chooses an engine by rendezvous hashing of the group, or the least loaded engine if that one is
+/// busy.
 class prefix_affinity final : public placement_policy {
  public:
   explicit prefix_affinity(std::uint64_t seed) : fallback_(seed) {}
--- a/src/rollout/placement.h
+++ b/src/rollout/placement.h
@@ -1,5 +1,5 @@
-/// @file Policies that choose an engine for a sample. Pure. To add one, derive from
-/// `placement_policy` and name it in `make_placement_policy`.
+/// @file Placement policies, which choose an engine for a sample. No I/O. To add a policy, derive
+/// from `placement_policy` and register its name in `make_placement_policy`.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,22 @@
 
 namespace frostline::rollout {
 
-/// An engine as a shard's owner sees it.
+/// State of an engine as known to the owner of a shard.
 struct engine_view {
   std::string id;
-  /// Address of the node that controls it.
+  /// Address of the node that controls the engine.
   std::string controller;
   std::string zone;
   std::uint32_t slots = 0;
-  /// Samples that this shard runs there.
+  /// Samples of this shard that run on the engine.
   std::uint32_t in_flight = 0;
-  /// Nothing is sent there before.
+  /// The engine takes no samples before this time.
   time_point blocked_until = time_point::min();
 };
 
-/// What the choice may depend on.
+/// Properties of a sample that a policy may use.
 struct placement_request {
-  /// Samples of one group share a prompt, and so an engine's prefix cache.
+  /// Samples of a group have the same prompt and benefit from an engine's prefix cache.
   std::uint64_t group = 0;
   std::string zone;
 };
@@ -36,18 +36,19 @@
 class placement_policy {
  public:
   virtual ~placement_policy() = default;
-  /// @param candidates not empty; each has a free slot and is not blocked.
-  /// @return index of the chosen engine.
+  /// @param candidates must not be empty; each has a free slot and is not blocked.
+  /// @return index of the chosen engine in `candidates`.
   virtual std::size_t choose(std::vector<engine_view const*> const& candidates,
                              placement_request const& request) = 0;
 };
 
-/// round_robin, least_loaded or prefix_affinity. @return null for another name.
+/// Creates the policy `name`: round_robin, least_loaded or prefix_affinity.
+/// @return null if the name is unknown.
 std::unique_ptr<placement_policy> make_placement_policy(std::string const& name,
                                                         std::uint64_t seed);
 
-/// Applies the policy to those engines that may take a sample now.
-/// @return index into `engines`, or nothing if none may.
+/// Applies the policy to the engines that have a free slot and are not blocked.
+/// @return index into `engines`, or nullopt if no engine is available.
 std::optional<std::size_t> place(placement_policy& policy, std::vector<engine_view> const& engines,
                                  placement_request const& request, time_point now);
 
--- a/src/rollout/sample_table.cc
+++ b/src/rollout/sample_table.cc
@@ -11,20 +11,20 @@
   }
   for (std::uint32_t index = 0; index < group.samples; ++index) {
     sample_key const key{group.group, index};
-    entry& held = entries_[key];
+    entry& sample_entry = entries_[key];
     if (delivered.contains(key)) {
-      held.state = sample_state::delivered;
+      sample_entry.state = sample_state::delivered;
     } else {
-      enqueue(key, held, false);
+      enqueue(key, sample_entry, false);
     }
   }
   groups_[group.group] = std::move(group);
   return add_result::added;
 }
 
-void sample_table::enqueue(sample_key key, entry& held, bool first) {
-  held.state = sample_state::queued;
-  held.attempt.clear();
+void sample_table::enqueue(sample_key key, entry& sample_entry, bool first) {
+  sample_entry.state = sample_state::queued;
+  sample_entry.attempt.clear();
   ++counts_.queued;
   if (first) {
     ready_.push_front(key);
@@ -42,7 +42,7 @@
   return found == groups_.end() ? 0 : found->second.samples;
 }
 
-bool sample_table::settle_ready(time_point now) {
+bool sample_table::advance_ready_queue(time_point now) {
   while (!delayed_.empty() && delayed_.begin()->first <= now) {
     ready_.push_front(delayed_.begin()->second);
     delayed_.erase(delayed_.begin());
@@ -56,40 +56,42 @@
 }
 
 std::optional<std::uint64_t> sample_table::peek_group(time_point now) {
-  if (!settle_ready(now)) return std::nullopt;
+  if (!advance_ready_queue(now)) return std::nullopt;
   return ready_.front().group;
 }
 
 std::optional<work_item> sample_table::take_next(time_point now) {
-  if (!settle_ready(now)) return std::nullopt;
+  if (!advance_ready_queue(now)) return std::nullopt;
   sample_key const key = ready_.front();
   ready_.pop_front();
-  entry& held = entries_.at(key);
-  held.state = sample_state::running;
-  held.attempt = attempt_prefix_ + "/" + std::to_string(key.group) + "." +
-                 std::to_string(key.index) + "/" + std::to_string(next_attempt_++);
+  entry& sample_entry = entries_.at(key);
+  sample_entry.state = sample_state::running;
+  sample_entry.attempt = attempt_prefix_ + "/" + std::to_string(key.group) + "." +
+                         std::to_string(key.index) + "/" + std::to_string(next_attempt_++);
   --counts_.queued;
   ++counts_.running;
-  work_item item{key, groups_.at(key.group), held.attempt, std::move(held.resume)};
-  held.resume = {};
+  work_item item{key, groups_.at(key.group), sample_entry.attempt, std::move(sample_entry.resume)};
+  sample_entry.resume = {};
   return item;
 }
 
 sample_table::entry* sample_table::find_running(sample_key key, std::string const& attempt) {
   auto const found = entries_.find(key);
   if (found == entries_.end()) return nullptr;
-  entry& held = found->second;
-  bool const current = held.state == sample_state::running && held.attempt == attempt;
-  return current ? &held : nullptr;
+  entry& sample_entry = found->second;
+  bool const current =
+      sample_entry.state == sample_state::running && sample_entry.attempt == attempt;
+  return current ? &sample_entry : nullptr;
 }
 
 bool sample_table::finish(finished_sample sample) {
   auto const found = entries_.find(sample.key);
   if (found == entries_.end()) return false;
-  entry& held = found->second;
-  // A recovered sample is taken in while it is still queued.
-  bool const recovered = held.state == sample_state::queued;
-  bool const current = held.state == sample_state::running && held.attempt == sample.attempt;
+  entry& sample_entry = found->second;
+  // A sample restored during recovery was not run by this owner and is still queued.
+  bool const recovered = sample_entry.state == sample_state::queued;
+  bool const current =
+      sample_entry.state == sample_state::running && sample_entry.attempt == sample.attempt;
   if (!recovered && !current) return false;
   if (recovered) {
     --counts_.queued;
@@ -97,48 +99,48 @@
     --counts_.running;
   }
   ++counts_.finished;
-  held.state = sample_state::finished;
+  sample_entry.state = sample_state::finished;
   finish_order_.push_back(sample.key);
-  held.result = std::move(sample);
+  sample_entry.result = std::move(sample);
   return true;
 }
 
 void sample_table::interrupt(sample_key key, std::string const& attempt, time_point not_before,
                              partial_run resume) {
-  entry* held = find_running(key, attempt);
-  if (held == nullptr) return;
+  entry* sample_entry = find_running(key, attempt);
+  if (sample_entry == nullptr) return;
   --counts_.running;
   ++counts_.queued;
-  held->state = sample_state::queued;
-  held->attempt.clear();
-  held->resume = std::move(resume);
+  sample_entry->state = sample_state::queued;
+  sample_entry->attempt.clear();
+  sample_entry->resume = std::move(resume);
   delayed_.emplace(not_before, key);
 }
 
 void sample_table::restart(sample_key key, std::string const& attempt) {
-  entry* held = find_running(key, attempt);
-  if (held == nullptr) return;
+  entry* sample_entry = find_running(key, attempt);
+  if (sample_entry == nullptr) return;
   --counts_.running;
   ++counts_.reruns_for_freshness;
-  held->resume = {};
-  enqueue(key, *held, true);
+  sample_entry->resume = {};
+  enqueue(key, *sample_entry, true);
 }
 
 std::size_t sample_table::drop_stale(std::uint64_t published, std::uint32_t bound) {
   std::vector<sample_key> stale;
   for (sample_key const& key : finish_order_) {
-    entry const& held = entries_.at(key);
-    bool const fresh = engines::is_within_bound(held.result.spans, published, bound);
-    if (!fresh && !held.result.failed) stale.push_back(key);
+    entry const& sample_entry = entries_.at(key);
+    bool const fresh = engines::is_within_bound(sample_entry.result.spans, published, bound);
+    if (!fresh && !sample_entry.result.failed) stale.push_back(key);
   }
   for (sample_key const& key : stale) {
-    entry& held = entries_.at(key);
-    counts_.wasted_tokens += engines::token_count(held.result.spans);
+    entry& sample_entry = entries_.at(key);
+    counts_.wasted_tokens += engines::token_count(sample_entry.result.spans);
     ++counts_.reruns_for_freshness;
     --counts_.finished;
-    held.result = {};
+    sample_entry.result = {};
     std::erase(finish_order_, key);
-    enqueue(key, held, true);
+    enqueue(key, sample_entry, true);
   }
   return stale.size();
 }
@@ -154,8 +156,8 @@
 
 finished_sample const* sample_table::find_finished(sample_key key) const {
   auto const found = entries_.find(key);
-  bool const held = found != entries_.end() && found->second.state == sample_state::finished;
-  return held ? &found->second.result : nullptr;
+  bool const is_finished = found != entries_.end() && found->second.state == sample_state::finished;
+  return is_finished ? &found->second.result : nullptr;
 }
 
 finished_sample const* sample_table::find_delivered(sample_key key) const {
@@ -168,11 +170,11 @@
   for (sample_key const& key : keys) {
     auto const found = entries_.find(key);
     if (found == entries_.end()) continue;
-    entry& held = found->second;
-    if (held.state == sample_state::finished) --counts_.finished;
-    if (held.state == sample_state::queued) --counts_.queued;
-    if (held.state == sample_state::running) --counts_.running;
-    held.state = sample_state::delivered;
+    entry& sample_entry = found->second;
+    if (sample_entry.state == sample_state::finished) --counts_.finished;
+    if (sample_entry.state == sample_state::queued) --counts_.queued;
+    if (sample_entry.state == sample_state::running) --counts_.running;
+    sample_entry.state = sample_state::delivered;
     std::erase(finish_order_, key);
   }
 }
--- a/src/rollout/sample_table.h
+++ b/src/rollout/sample_table.h
@@ -1,4 +1,4 @@
-/// @file The samples of one shard and where each stands. Pure.
+/// @file State of all samples of one shard. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 using delivery::sample_key;
 using engines::span_list;
 
-/// A prompt of which several samples are wanted.
+/// A prompt and the number of samples to generate from it.
 struct sample_group {
   std::uint64_t group = 0;
   std::string prompt;
@@ -38,18 +38,18 @@
   bool failed = false;
 };
 
-/// Tokens that an interrupted run leaves for the next engine to go on from.
+/// Output of an interrupted run, from which another engine can resume.
 struct partial_run {
   std::string text;
   span_list spans;
 };
 
-/// Where a sample stands. queued -> running -> finished -> delivered; running and finished go back
-/// to queued when the run broke or became too old; delivered goes back only when a batch that no
-/// trainer can have used is replaced.
+/// State of a sample: queued -> running -> finished -> delivered. Running and finished samples
+/// return to queued if their run fails or exceeds the freshness bound. Delivered samples return to
+/// queued only if their batch is replaced before the trainer has acknowledged it.
 enum class sample_state { queued, running, finished, delivered };
 
-/// What to run next.
+/// A sample to run, with the attempt that identifies this run.
 struct work_item {
   sample_key key;
   sample_group group;
@@ -69,47 +69,49 @@
 
 class sample_table {
  public:
-  /// @param attempt_prefix makes the attempts of this owner unique: task, shard and epoch.
+  /// @param attempt_prefix task, shard and epoch; makes attempt identifiers unique to this owner.
   explicit sample_table(std::string attempt_prefix) : attempt_prefix_(std::move(attempt_prefix)) {}
 
-  /// Adds a group; samples that `delivered` holds are not run again.
+  /// Adds a group and queues its samples, except those in `delivered`.
   add_result add_group(sample_group group, delivery::delivered_set const& delivered);
   bool knows_group(std::uint64_t group) const { return groups_.contains(group); }
 
-  /// Samples of a group; 0 if it is unknown.
+  /// Returns the number of samples in a group, or 0 if the group is unknown.
   std::uint32_t group_size(std::uint64_t group) const;
 
-  /// Group of the sample that take_next would return.
+  /// Returns the group of the sample that `take_next` would return.
   std::optional<std::uint64_t> peek_group(time_point now);
-  /// Takes the next sample to run, and counts it as running.
+  /// Returns the next sample to run and marks it as running, or nullopt if none is ready.
   std::optional<work_item> take_next(time_point now);
-  /// When the next delayed sample is due; time_point::max() if none is.
+  /// Returns when the next delayed sample becomes ready, or time_point::max() if none is delayed.
   time_point next_due() const;
 
-  /// The run ended well. @return false if another attempt holds the sample by now.
+  /// Records a finished sample. @return false if the sample is neither queued nor running as this
+  /// attempt; the result is then ignored.
   bool finish(finished_sample sample);
-  /// The run broke; it is tried again at `not_before`, from `resume` if that is given.
+  /// Queues the sample of a failed run again. The next run starts at `not_before` or later and
+  /// resumes from `resume` unless that is empty.
   void interrupt(sample_key key, std::string const& attempt, time_point not_before,
                  partial_run resume);
-  /// The run's tokens are too old: start over.
+  /// Queues a sample again from the start, because its tokens exceed the freshness bound.
   void restart(sample_key key, std::string const& attempt);
 
-  /// Puts finished samples that are over the bound back into the queue. @return how many.
+  /// Queues finished samples that exceed the freshness bound again. @return number of samples.
   std::size_t drop_stale(std::uint64_t published, std::uint32_t bound);
-  /// Up to `limit` finished samples, the earliest finished first.
+  /// Returns up to `limit` finished samples in the order in which they finished.
   std::vector<finished_sample const*> finished(std::size_t limit) const;
   finished_sample const* find_finished(sample_key key) const;
-  /// Content of delivered samples, kept until the trainer has acknowledged them.
+  /// Returns a delivered sample, or null once its content has been dropped.
   finished_sample const* find_delivered(sample_key key) const;
 
   void mark_delivered(std::vector<sample_key> const& keys);
-  /// Gives a delivered sample its content back, as another owner stored it.
+  /// Restores the content of a delivered sample that a previous owner stored.
   void restore_content(finished_sample sample);
-  /// Takes samples back that a replaced batch held.
+  /// Queues delivered samples of a replaced batch again.
   void withdraw(std::vector<sample_key> const& keys);
-  /// The trainer has made these durable: their content is forgotten.
+  /// Drops the content of samples that the trainer has acknowledged as durable.
   void forget_content(std::vector<sample_key> const& keys);
-  /// Forgets groups that are delivered in full.
+  /// Removes all groups below `watermark`, which are fully delivered.
   void forget_below(std::uint64_t watermark);
 
   table_counts const& counts() const { return counts_; }
@@ -123,9 +125,10 @@
     finished_sample result;
   };
 
-  void enqueue(sample_key key, entry& held, bool first);
-  /// Brings due and still queued samples to the front of `ready_`.
-  bool settle_ready(time_point now);
+  void enqueue(sample_key key, entry& sample_entry, bool first);
+  /// Moves due samples from `delayed_` to `ready_` and removes entries that are no longer queued.
+  /// @return true if the front of `ready_` can run.
+  bool advance_ready_queue(time_point now);
   entry* find_running(sample_key key, std::string const& attempt);
 
   std::string attempt_prefix_;
--- a/src/rollout/service.cc
+++ b/src/rollout/service.cc
@@ -8,14 +8,14 @@
 namespace frostline::rollout {
 namespace {
 
-constexpr milliseconds k_owner_retry{500};
+constexpr milliseconds k_owner_retry_after{500};
 constexpr milliseconds k_submit_timeout{10'000};
-constexpr milliseconds k_pull_margin{5000};
-constexpr std::size_t k_most_groups = 8192;
+constexpr milliseconds k_pull_timeout_margin{5000};
+constexpr std::size_t k_max_groups_per_request = 8192;
 
 rpc::problem owner_unknown(std::string const& shard) {
   return rpc::unavailable(rpc::reason::owner_unknown, "no owner known for shard " + shard,
-                          k_owner_retry);
+                          k_owner_retry_after);
 }
 
 rpc::problem no_such_task(std::string const& task) {
@@ -85,7 +85,7 @@
 }
 
 void service::reconcile_shards() {
-  for (auto const& [name, held] : dependencies_.config.shard_owners()) {
+  for (auto const& [name, record] : dependencies_.config.shard_owners()) {
     kv::revision const epoch =
         dependencies_.owner.epoch_of(config::key_of(config::k_shard_owners, name));
     auto const existing = owners_.find(name);
@@ -98,11 +98,11 @@
     owners_[name] = owner;
     owner->start();
   }
-  for (auto at = owners_.begin(); at != owners_.end();) {
-    std::string const key = config::key_of(config::k_shard_owners, at->first);
-    bool const held = dependencies_.owner.epoch_of(key) == at->second->epoch();
-    if (!held) at->second->stop();
-    at = held ? std::next(at) : owners_.erase(at);
+  for (auto position = owners_.begin(); position != owners_.end();) {
+    std::string const key = config::key_of(config::k_shard_owners, position->first);
+    bool const is_owned = dependencies_.owner.epoch_of(key) == position->second->epoch();
+    if (!is_owned) position->second->stop();
+    position = is_owned ? std::next(position) : owners_.erase(position);
   }
 }
 
@@ -139,7 +139,7 @@
   for (auto const& [id, controller] : controllers_) controller->stop();
 }
 
-void service::give_up_runs() {
+void service::abandon_runs() {
   for (auto const& [id, controller] : controllers_) controller->give_up_all();
   for (auto const& controller : retired_) controller->give_up_all();
 }
@@ -151,9 +151,9 @@
   return total;
 }
 
-bool service::owners_busy() const {
+bool service::has_busy_owners() const {
   return std::any_of(owners_.begin(), owners_.end(),
-                     [](auto const& one) { return one.second->is_busy(); });
+                     [](auto const& owner_entry) { return owner_entry.second->is_busy(); });
 }
 
 std::shared_ptr<shard_owner> service::find_owner(std::string const& shard_name) const {
@@ -172,7 +172,8 @@
 awaitable<service::submit_reply> service::submit(rpc::SubmitGroupsRequestT request) {
   auto const* task = dependencies_.config.find_task(request.task);
   if (task == nullptr) co_return no_such_task(request.task);
-  if (request.groups.size() > k_most_groups) co_return rpc::bad_request("too many groups");
+  if (request.groups.size() > k_max_groups_per_request)
+    co_return rpc::bad_request("too many groups");
   std::uint32_t const shards = std::max<std::uint32_t>(1, task->record.shards);
   bool const forwarded = request.forwarded;
   std::string const name = request.task;
@@ -187,7 +188,7 @@
   total.shards = shards;
   for (auto& [shard, part] : by_shard) {
     auto answer = co_await submit_to_shard(shard, std::move(part));
-    // Groups are idempotent: after a failure the trainer submits all of them again.
+    // Submission is idempotent: after a failure the trainer submits all groups again.
     if (!answer) co_return answer.error();
     total.accepted += answer.value().accepted;
     total.known += answer.value().known;
@@ -220,7 +221,7 @@
   auto const remote = remote_owner(name);
   if (!remote || request.forwarded) co_return owner_unknown(name);
   request.forwarded = true;
-  milliseconds const timeout = milliseconds(request.max_wait_ms) + k_pull_margin;
+  milliseconds const timeout = milliseconds(request.max_wait_ms) + k_pull_timeout_margin;
   co_return co_await rpc::call<rpc::PullBatchRequestT, rpc::PullBatchResponseT>(
       dependencies_.transport, *remote, "TrainerService", "PullBatch", request, timeout);
 }
@@ -231,7 +232,7 @@
     rpc::RunSampleResponseT refusal;
     refusal.outcome = rpc::RunOutcome::REFUSED;
     refusal.reason = controller ? "cut_off" : "not_controller";
-    refusal.retry_after_ms = static_cast<std::uint32_t>(k_owner_retry.count());
+    refusal.retry_after_ms = static_cast<std::uint32_t>(k_owner_retry_after.count());
     co_return refusal;
   }
   co_return co_await controller->run(std::move(request));
@@ -267,7 +268,7 @@
   co_return std::move(loaded.value());
 }
 
-void service::describe(rpc::GetStatusResponseT& status) const {
+void service::fill_status(rpc::GetStatusResponseT& status) const {
   for (auto const& [id, controller] : controllers_) {
     auto engine = std::make_unique<rpc::EngineStatusT>(controller->status());
     engine->controller = dependencies_.owner.self().node;
--- a/src/rollout/service.h
+++ b/src/rollout/service.h
@@ -1,5 +1,5 @@
-/// @file The rollout side of a node: controllers of its engines, owners of its shards, and the
-/// methods of trainers and of other nodes.
+/// @file Rollout service of a node: the controllers of its engines, the owners of its shards, and
+/// the RPC methods for trainers and for other nodes.
 #pragma once
 
 #include <map>
@@ -14,24 +14,27 @@
 
 class service {
  public:
-  /// @param dependencies its `local_controller` is set to this service's.
-  /// @param leaving_marks where controllers note what engines say of themselves.
+  /// @param dependencies the constructor sets its `local_controller`.
+  /// @param leaving_marks records which engines announced that they are leaving.
+  /// @param local_bulk null if this node has no data folder.
   service(node_dependencies& dependencies, routing::leaving_tracker& leaving_marks,
           bulk::store* local_bulk);
 
   void register_methods(rpc::dispatcher& methods);
-  /// Everything that wants an owner, by what this node knows.
+  /// Returns all shards and engines that need an owner, according to the configuration and the
+  /// machine list of this node.
   std::vector<ownership::resource> list_resources() const;
-  /// Brings owners and controllers in line with what this node owns now.
+  /// Starts and stops shard owners and engine controllers to match what this node owns.
   void reconcile();
-  /// Stops all owners; runs in flight on controlled engines go on until `runs_in_flight` is 0.
+  /// Stops all owners. Runs in flight on controlled engines continue; `runs_in_flight` returns how
+  /// many are left.
   void stop_owners();
   std::size_t runs_in_flight() const;
-  /// Hands the runs that are left over to their shards' owners.
-  void give_up_runs();
-  bool owners_busy() const;
+  /// Interrupts the remaining runs, so that the shards' owners can resume them elsewhere.
+  void abandon_runs();
+  bool has_busy_owners() const;
 
-  void describe(rpc::GetStatusResponseT& status) const;
+  void fill_status(rpc::GetStatusResponseT& status) const;
 
  private:
   using submit_reply = rpc::reply<rpc::SubmitGroupsResponseT>;
@@ -55,7 +58,7 @@
   bulk::store* local_bulk_;
   std::map<std::string, std::shared_ptr<shard_owner>> owners_;
   std::map<std::string, std::shared_ptr<engines::controller>> controllers_;
-  /// Controllers that were replaced but still run samples.
+  /// Replaced controllers whose runs have not ended yet.
   std::vector<std::shared_ptr<engines::controller>> retired_;
   bool stopping_ = false;
 };
--- a/src/rollout/shard_batches.cc
+++ b/src/rollout/shard_batches.cc
@@ -1,4 +1,4 @@
-/// @file How a shard's owner commits batches and answers pulls.
+/// @file Committing a shard's batches and replying to pulls.
 
 #include <algorithm>
 
@@ -11,29 +11,29 @@
 namespace {
 
 constexpr std::string_view k_part = "delivery";
-constexpr std::uint32_t k_longest_wait_ms = 30'000;
-constexpr std::uint32_t k_empty_retry_ms = 100;
-constexpr milliseconds k_retry_pause{20};
-/// A waiting pull looks at the state this often even if nothing wakes it.
-constexpr milliseconds k_look_again{50};
-constexpr milliseconds k_owner_retry{500};
-constexpr milliseconds k_kv_retry{1000};
+constexpr std::uint32_t k_max_wait_ms = 30'000;
+constexpr std::uint32_t k_empty_retry_after_ms = 100;
+constexpr milliseconds k_retry_backoff{20};
+/// Interval at which a waiting pull checks the state without a notification.
+constexpr milliseconds k_pull_poll_interval{50};
+constexpr milliseconds k_owner_retry_after{500};
+constexpr milliseconds k_kv_retry_after{1000};
 
 rpc::problem not_owner() {
   return rpc::unavailable(rpc::reason::owner_unknown, "shard has moved to another owner",
-                          k_owner_retry);
+                          k_owner_retry_after);
 }
 
 rpc::problem no_kv() {
   return rpc::unavailable(rpc::reason::kv_unavailable, "delivery waits for the key-value service",
-                          k_kv_retry);
+                          k_kv_retry_after);
 }
 
 rpc::problem conflict(rpc::reason why, std::string detail) {
   return {http::status::conflict, why, std::move(detail), rpc::run_state::not_run, milliseconds(0)};
 }
 
-/// Marks the owner as committing for as long as it lives.
+/// Sets the `committing_` flag for its own lifetime and notifies waiters when it ends.
 class commit_guard {
  public:
   commit_guard(bool& flag, async_condition& changed) : flag_(flag), changed_(changed) {
@@ -54,14 +54,14 @@
 }  // namespace
 
 awaitable<shard_owner::pull_reply> shard_owner::pull(rpc::PullBatchRequestT request) {
-  ++answering_;
+  ++requests_in_flight_;
   auto answer = co_await answer_pull(std::move(request));
-  --answering_;
+  --requests_in_flight_;
   co_return answer;
 }
 
 awaitable<shard_owner::pull_reply> shard_owner::answer_pull(rpc::PullBatchRequestT request) {
-  std::uint32_t const wait_ms = std::min(request.max_wait_ms, k_longest_wait_ms);
+  std::uint32_t const wait_ms = std::min(request.max_wait_ms, k_max_wait_ms);
   time_point const deadline = boot_clock::now() + milliseconds(wait_ms);
   while (true) {
     if (state_ == owner_state::stopped) co_return not_owner();
@@ -70,10 +70,10 @@
       std::optional<pull_reply> answer;
       switch (ledger_.classify(request.cursor, request.cursor_identity)) {
         case delivery::pull_kind::next:
-          if (batch_is_ready(expired)) answer = co_await commit_next();
+          if (is_batch_ready(expired)) answer = co_await commit_next();
           break;
         case delivery::pull_kind::repeat:
-          answer = co_await hand_out_again();
+          answer = co_await redeliver_batch();
           break;
         case delivery::pull_kind::superseded:
           answer = co_await refuse_after_confirm(
@@ -87,19 +87,20 @@
       }
       if (answer) co_return std::move(*answer);
     }
-    if (state_ == owner_state::recovering) co_await wait_for(k_retry_pause);
+    if (state_ == owner_state::recovering) co_await wait_for(k_retry_backoff);
     if (expired) {
-      rpc::PullBatchResponseT none;
-      none.retry_after_ms = k_empty_retry_ms;
-      co_return none;
+      rpc::PullBatchResponseT empty_response;
+      empty_response.retry_after_ms = k_empty_retry_after_ms;
+      co_return empty_response;
     }
-    time_point const look_again = boot_clock::now() + k_look_again;
-    co_await changed_.wait_until(std::min(deadline, look_again));
+    time_point const next_check = boot_clock::now() + k_pull_poll_interval;
+    co_await changed_.wait_until(std::min(deadline, next_check));
   }
 }
 
-/// A full batch, or whatever is finished if nothing more is coming or the caller can't wait longer.
-bool shard_owner::batch_is_ready(bool deadline_passed) const {
+/// Returns true if a full batch is finished, or if any sample is finished and either no other is
+/// queued or running, or the pull's deadline has passed.
+bool shard_owner::is_batch_ready(bool deadline_passed) const {
   auto const* task = task_record();
   std::uint32_t const finished = table_.counts().finished;
   if (task == nullptr || finished == 0) return false;
@@ -107,14 +108,14 @@
 }
 
 delivery::commit_conditions shard_owner::conditions() const {
-  delivery::commit_conditions all;
-  all.owner_key = config::key_of(config::k_shard_owners, name_);
-  all.epoch = epoch_;
-  all.version_key = config::key_of(config::k_versions, task_);
-  all.version_revision = dependencies_.config.version_revision(task_);
-  all.record_key = config::key_of(config::k_delivery, name_);
-  all.record_revision = ledger_.revision();
-  return all;
+  delivery::commit_conditions result;
+  result.owner_key = config::key_of(config::k_shard_owners, name_);
+  result.epoch = epoch_;
+  result.version_key = config::key_of(config::k_versions, task_);
+  result.version_revision = dependencies_.config.version_revision(task_);
+  result.record_key = config::key_of(config::k_delivery, name_);
+  result.record_revision = ledger_.revision();
+  return result;
 }
 
 std::size_t shard_owner::batch_limit() const {
@@ -144,40 +145,43 @@
 
 awaitable<std::optional<shard_owner::pull_reply>> shard_owner::commit_next() {
   commit_guard guard(committing_, changed_);
-  table_.drop_stale(published(), bound());
+  table_.drop_stale(published_version(), freshness_bound());
   auto const entries = finished_entries(batch_limit());
   if (entries.empty()) co_return std::nullopt;
-  auto record = ledger_.plan_next(entries, published(), make_unique_token());
+  auto record = ledger_.plan_next(entries, published_version(), make_unique_token());
   co_return co_await commit(std::move(record), {});
 }
 
-/// The last batch once more. It is handed out as it was only while each of its samples is still
-/// within the bound and its content is there; otherwise it is replaced.
-awaitable<std::optional<shard_owner::pull_reply>> shard_owner::hand_out_again() {
+/// Delivers the last batch again, unchanged if all its samples are within the freshness bound and
+/// their content is available; otherwise commits a replacement.
+awaitable<std::optional<shard_owner::pull_reply>> shard_owner::redeliver_batch() {
   commit_guard guard(committing_, changed_);
   std::vector<delivery::manifest_entry> kept;
   std::vector<delivery::manifest_entry> withdrawn;
   for (delivery::manifest_entry entry : ledger_.manifest()) {
     entry.group_size = table_.group_size(entry.key.group);
     finished_sample const* content = table_.find_delivered(entry.key);
-    bool const there = content != nullptr && content->attempt == entry.attempt;
-    bool const fresh = entry.failed || engines::is_within_bound(entry.spans, published(), bound());
-    (there && fresh ? kept : withdrawn).push_back(std::move(entry));
+    bool const has_content = content != nullptr && content->attempt == entry.attempt;
+    bool const fresh = entry.failed || engines::is_within_bound(entry.spans, published_version(),
+                                                                freshness_bound());
+    (has_content && fresh ? kept : withdrawn).push_back(std::move(entry));
   }
   if (withdrawn.empty()) {
     auto const answer = co_await committer_.confirm(conditions());
-    if (answer.result != delivery::commit_result::committed) co_return take_commit_failure(answer);
+    if (answer.result != delivery::commit_result::committed)
+      co_return handle_commit_failure(answer);
     co_return make_batch(ledger_.revision());
   }
-  log_line(log_level::warning, k_part, "Replaces a batch that was not made durable.",
+  log_line(log_level::warning, k_part, "Replacing an unacknowledged batch.",
            {{"shard", name_}, {"batch", ledger_.batch()}, {"withdrawn", withdrawn.size()}});
-  table_.drop_stale(published(), bound());
-  std::size_t const room = batch_limit() > kept.size() ? batch_limit() - kept.size() : 0;
-  auto fresh_entries = finished_entries(room);
+  table_.drop_stale(published_version(), freshness_bound());
+  std::size_t const remaining_capacity =
+      batch_limit() > kept.size() ? batch_limit() - kept.size() : 0;
+  auto fresh_entries = finished_entries(remaining_capacity);
   std::move(fresh_entries.begin(), fresh_entries.end(), std::back_inserter(kept));
   std::vector<sample_key> withdrawn_keys;
   for (auto const& entry : withdrawn) withdrawn_keys.push_back(entry.key);
-  auto record = ledger_.plan_replacement(kept, withdrawn, published(), make_unique_token());
+  auto record = ledger_.plan_replacement(kept, withdrawn, published_version(), make_unique_token());
   co_return co_await commit(std::move(record), std::move(withdrawn_keys));
 }
 
@@ -185,7 +189,7 @@
     rpc::DeliveryRecordT record, std::vector<sample_key> withdrawn) {
   bool const replaces = record.batch == ledger_.batch();
   auto const answer = co_await committer_.commit(conditions(), record);
-  if (answer.result != delivery::commit_result::committed) co_return take_commit_failure(answer);
+  if (answer.result != delivery::commit_result::committed) co_return handle_commit_failure(answer);
   if (!replaces) acknowledge_last_batch();
   table_.withdraw(withdrawn);
   delivered_count_ += record.manifest.size();
@@ -194,7 +198,7 @@
   co_return make_batch(answer.revision);
 }
 
-/// The trainer has made the last batch durable: what it held can go.
+/// Drops the data of the last batch, which the trainer has acknowledged as durable.
 void shard_owner::acknowledge_last_batch() {
   std::vector<sample_key> keys;
   for (auto const& entry : ledger_.manifest()) keys.push_back(entry.key);
@@ -208,24 +212,25 @@
         }(shared_from_this(), watermark));
 }
 
-/// @return the answer to the pull, or nothing if it shall be tried again.
-std::optional<shard_owner::pull_reply> shard_owner::take_commit_failure(
+/// @return the reply to the pull, or nullopt if the pull should be retried.
+std::optional<shard_owner::pull_reply> shard_owner::handle_commit_failure(
     delivery::commit_answer const& answer) {
   switch (answer.result) {
     case delivery::commit_result::fenced:
-      log_line(log_level::warning, k_part, "Shard has another owner.",
+      log_line(log_level::warning, k_part, "Commit fenced: the shard has another owner.",
                {{"shard", name_}, {"epoch", epoch_}});
       stop();
       return pull_reply(not_owner());
     case delivery::commit_result::version_moved:
       if (answer.version_entry) {
         kv::key_value const& entry = *answer.version_entry;
-        dependencies_.config_sync.apply_committed({entry.key, entry.mod_revision, entry.value, false});
+        dependencies_.config_sync.apply_committed(
+            {entry.key, entry.mod_revision, entry.value, false});
       }
       return std::nullopt;
     case delivery::commit_result::record_moved:
     case delivery::commit_result::in_doubt:
-      // The record is read anew before anything else is planned on it.
+      // Recovery reads the record again before the next commit is planned.
       state_ = owner_state::recovering;
       return std::nullopt;
     case delivery::commit_result::unavailable:
@@ -235,12 +240,13 @@
   return pull_reply(no_kv());
 }
 
-/// A refusal is final, so it must not rest on a stale read.
+/// Confirms that this node still owns the shard with a current record before it refuses a pull,
+/// because a refusal is final.
 awaitable<std::optional<shard_owner::pull_reply>> shard_owner::refuse_after_confirm(
     rpc::problem refusal) {
   commit_guard guard(committing_, changed_);
   auto const answer = co_await committer_.confirm(conditions());
-  if (answer.result != delivery::commit_result::committed) co_return take_commit_failure(answer);
+  if (answer.result != delivery::commit_result::committed) co_return handle_commit_failure(answer);
   co_return pull_reply(std::move(refusal));
 }
 
--- a/src/rollout/shard_owner.cc
+++ b/src/rollout/shard_owner.cc
@@ -1,5 +1,5 @@
-/// @file Lifecycle, intake and recovery of a shard's owner. Its runs are in shard_runs.cc, its
-/// batches in shard_batches.cc.
+/// @file Lifecycle, submission and recovery of a shard owner. Runs are in shard_runs.cc, batches in
+/// shard_batches.cc.
 
 #include "rollout/shard_owner.h"
 
@@ -13,17 +13,17 @@
 namespace {
 
 constexpr std::string_view k_part = "rollout";
-constexpr milliseconds k_main_tick{50};
-constexpr milliseconds k_recovery_pause{200};
-constexpr milliseconds k_copy_retry{1000};
-/// Groups may run ahead of the watermark by this much.
+constexpr milliseconds k_main_loop_interval{50};
+constexpr milliseconds k_recovery_backoff{200};
+constexpr milliseconds k_replication_retry_interval{1000};
+/// Number of groups above the delivery watermark that are accepted.
 constexpr std::uint64_t k_group_window = 65'536;
-constexpr std::uint32_t k_largest_group = 1024;
-constexpr milliseconds k_window_retry{1000};
+constexpr std::uint32_t k_max_group_size = 1024;
+constexpr milliseconds k_window_retry_after{1000};
 
 std::uint32_t shard_count(node_dependencies const& dependencies, std::string const& task) {
-  auto const* held = dependencies.config.find_task(task);
-  return held == nullptr ? 1 : std::max<std::uint32_t>(1, held->record.shards);
+  auto const* record_entry = dependencies.config.find_task(task);
+  return record_entry == nullptr ? 1 : std::max<std::uint32_t>(1, record_entry->record.shards);
 }
 
 }  // namespace
@@ -37,7 +37,7 @@
       name_(config::shard_name(task_, shard)),
       table_(name_ + "/" + std::to_string(epoch)),
       ledger_(shard, shard_count(dependencies, task_)),
-      committer_(dependencies.service),
+      committer_(dependencies.kv_client),
       placement_(make_placement_policy(dependencies.placement, epoch)),
       changed_(dependencies.context) {}
 
@@ -59,7 +59,7 @@
   return task == nullptr ? nullptr : &task->record;
 }
 
-std::uint32_t shard_owner::bound() const {
+std::uint32_t shard_owner::freshness_bound() const {
   auto const* task = task_record();
   return task == nullptr ? 0 : task->freshness_bound;
 }
@@ -70,28 +70,29 @@
       co_await recover();
       continue;
     }
-    // A commit in flight may have taken effect: what it holds is delivered then, whatever is
-    // published after it, and must stay until its answer is known.
-    if (!committing_ && table_.drop_stale(published(), bound()) > 0) changed_.notify_all();
+    // While a commit is in flight its samples may already be delivered, so they must be kept until
+    // its outcome is known, even if a newer version makes them stale.
+    if (!committing_ && table_.drop_stale(published_version(), freshness_bound()) > 0)
+      changed_.notify_all();
     abandon_lost_runs();
     dispatch();
-    time_point const deadline = std::min(table_.next_due(), boot_clock::now() + k_main_tick);
+    time_point const deadline =
+        std::min(table_.next_due(), boot_clock::now() + k_main_loop_interval);
     co_await changed_.wait_until(deadline);
   }
-  log_line(log_level::info, k_part, "Stopped owning a shard.",
-           {{"shard", name_}, {"epoch", epoch_}});
+  log_line(log_level::info, k_part, "Shard owner stopped.", {{"shard", name_}, {"epoch", epoch_}});
 }
 
 awaitable<void> shard_owner::recover() {
   bool const recovered = co_await try_recover();
   if (is_stopped()) co_return;
   if (!recovered) {
-    co_await wait_for(k_recovery_pause);
+    co_await wait_for(k_recovery_backoff);
     co_return;
   }
   state_ = owner_state::serving;
   changed_.notify_all();
-  log_line(log_level::info, k_part, "Serves a shard.",
+  log_line(log_level::info, k_part, "Shard owner serving.",
            {{"shard", name_},
             {"epoch", epoch_},
             {"queued", table_.counts().queued},
@@ -106,29 +107,30 @@
   auto bulk = co_await dependencies_.bulk.load(task_, shard_);
   if (bulk.replicas_read == 0) co_return false;
   if (bulk.replicas_failed > 0) {
-    log_line(log_level::warning, k_part, "Recovers without some disk nodes.",
+    log_line(log_level::warning, k_part, "Recovering without data from some disk nodes.",
              {{"shard", name_}, {"missing", bulk.replicas_failed}});
   }
-  take_recovered(bulk.content);
+  restore_recovered(bulk.content);
   bulk_loaded_ = true;
-  bool const whole = bulk.short_of_copies.groups.empty() && bulk.short_of_copies.samples.empty();
-  if (!whole)
+  bool const fully_replicated =
+      bulk.under_replicated.groups.empty() && bulk.under_replicated.samples.empty();
+  if (!fully_replicated)
     spawn(dependencies_.context,
-          restore_copies(shared_from_this(), std::move(bulk.short_of_copies)));
+          restore_replication(shared_from_this(), std::move(bulk.under_replicated)));
   co_return true;
 }
 
-/// Brings what a lost disk node held back to its number of copies.
-awaitable<void> shard_owner::restore_copies(std::shared_ptr<shard_owner> self,
-                                            rpc::StoreBulkRequestT missing) {
+/// Stores under-replicated groups and samples again until they have enough replicas.
+awaitable<void> shard_owner::restore_replication(std::shared_ptr<shard_owner> self,
+                                                 rpc::StoreBulkRequestT missing) {
   while (!self->is_stopped()) {
     bool const stored = co_await self->dependencies_.bulk.put(missing);
     if (stored) co_return;
-    co_await wait_for(k_copy_retry);
+    co_await wait_for(k_replication_retry_interval);
   }
 }
 
-void shard_owner::take_recovered(rpc::LoadBulkResponseT const& content) {
+void shard_owner::restore_recovered(rpc::LoadBulkResponseT const& content) {
   for (auto const& group : content.groups) table_.add_group(from_wire(*group), ledger_.delivered());
   std::set<std::string> committed;
   for (auto const& entry : ledger_.manifest()) committed.insert(entry.attempt);
@@ -160,7 +162,7 @@
     rpc::SubmitGroupsRequestT request) {
   if (state_ != owner_state::serving) {
     co_return rpc::unavailable(rpc::reason::owner_unknown, "shard is changing its owner",
-                               k_recovery_pause);
+                               k_recovery_backoff);
   }
   std::uint64_t const limit = ledger_.delivered().watermark() + k_group_window;
   rpc::StoreBulkRequestT bulk;
@@ -169,13 +171,13 @@
   rpc::SubmitGroupsResponseT response;
   response.shards = shard_count(dependencies_, task_);
   for (auto& group : request.groups) {
-    if (group->samples == 0 || group->samples > k_largest_group || group->max_tokens == 0) {
+    if (group->samples == 0 || group->samples > k_max_group_size || group->max_tokens == 0) {
       co_return rpc::bad_request("group " + std::to_string(group->group) +
                                  ": samples must be 1 to 1024, max_tokens above 0");
     }
     if (group->group >= limit) {
       co_return rpc::unavailable(rpc::reason::over_limit, "too far ahead of delivery",
-                                 k_window_retry);
+                                 k_window_retry_after);
     }
     bool const old = group->group < ledger_.delivered().watermark();
     if (old || table_.knows_group(group->group)) {
@@ -185,14 +187,14 @@
     }
   }
   if (bulk.groups.empty()) co_return response;
-  ++answering_;
+  ++requests_in_flight_;
   std::vector<sample_group> added;
   for (auto const& group : bulk.groups) added.push_back(from_wire(*group));
   bool const stored = co_await dependencies_.bulk.put(std::move(bulk));
-  --answering_;
+  --requests_in_flight_;
   if (!stored || state_ != owner_state::serving) {
     co_return rpc::unavailable(rpc::reason::not_ready, "groups could not be stored",
-                               k_window_retry);
+                               k_window_retry_after);
   }
   for (sample_group& group : added) {
     if (table_.add_group(std::move(group), ledger_.delivered()) == add_result::added) {
--- a/src/rollout/shard_owner.h
+++ b/src/rollout/shard_owner.h
@@ -1,4 +1,5 @@
-/// @file Owns one shard of a task for one epoch: runs its samples and delivers them in batches.
+/// @file Owner of one shard of a task for one epoch. Runs the shard's samples and delivers them to
+/// the trainer in batches.
 #pragma once
 
 #include <map>
@@ -15,8 +16,8 @@
 
 namespace frostline::rollout {
 
-/// Lifecycle of an owner. recovering -> serving; serving -> recovering when the delivery record is
-/// not what it should be; both -> stopped, which is final.
+/// Lifecycle of an owner: recovering -> serving; serving -> recovering if the stored delivery
+/// record may differ from the local one; both -> stopped, which is final.
 enum class owner_state { recovering, serving, stopped };
 
 class shard_owner : public std::enable_shared_from_this<shard_owner> {
@@ -25,19 +26,19 @@
               kv::revision epoch);
 
   void start();
-  /// The shard is another's now, or the node stops: nothing more is committed.
+  /// Stops the owner for good. Called if the shard has a new owner or the node shuts down.
   void stop();
-  /// Versions, engines or owners may have changed.
+  /// Wakes the owner after a change of the configuration or the machine list.
   void on_change();
 
-  /// Takes groups of this shard in; they are on two disk nodes before it answers.
+  /// Accepts groups of this shard. Replies after the configured number of replicas has stored them.
   awaitable<rpc::reply<rpc::SubmitGroupsResponseT>> submit(rpc::SubmitGroupsRequestT request);
   awaitable<rpc::reply<rpc::PullBatchResponseT>> pull(rpc::PullBatchRequestT request);
 
   rpc::ShardStatusT status() const;
   kv::revision epoch() const { return epoch_; }
-  /// Whether a pull or submit is being answered, which a planned stop waits for.
-  bool is_busy() const { return answering_ > 0; }
+  /// Returns true while a pull or a submit is in flight; a planned stop waits for them.
+  bool is_busy() const { return requests_in_flight_ > 0; }
 
  private:
   using pull_reply = rpc::reply<rpc::PullBatchResponseT>;
@@ -45,9 +46,9 @@
   awaitable<void> main_loop();
   awaitable<void> recover();
   awaitable<bool> try_recover();
-  static awaitable<void> restore_copies(std::shared_ptr<shard_owner> self,
-                                        rpc::StoreBulkRequestT missing);
-  void take_recovered(rpc::LoadBulkResponseT const& content);
+  static awaitable<void> restore_replication(std::shared_ptr<shard_owner> self,
+                                             rpc::StoreBulkRequestT missing);
+  void restore_recovered(rpc::LoadBulkResponseT const& content);
 
   void refresh_engines();
   void dispatch();
@@ -55,24 +56,25 @@
   awaitable<void> run_sample(work_item work, std::string engine);
   awaitable<rpc::reply<rpc::RunSampleResponseT>> call_controller(std::string engine,
                                                                  rpc::RunSampleRequestT request);
-  void take_failure(work_item const& work, std::string const& engine, rpc::problem const& issue);
-  awaitable<void> take_response(work_item const& work, std::string const& engine,
-                                rpc::RunSampleResponseT response);
-  void take_interruption(work_item const& work, rpc::RunSampleResponseT const& response);
+  void handle_run_failure(work_item const& work, std::string const& engine,
+                          rpc::problem const& issue);
+  awaitable<void> handle_run_response(work_item const& work, std::string const& engine,
+                                      rpc::RunSampleResponseT response);
+  void handle_run_interruption(work_item const& work, rpc::RunSampleResponseT const& response);
   awaitable<void> complete_sample(finished_sample sample);
   awaitable<bool> score(finished_sample& sample);
-  awaitable<bool> store_copy(finished_sample const& sample);
+  awaitable<bool> store_sample(finished_sample const& sample);
   void release_slot(std::string const& engine, std::string const& attempt);
   void block_engine(std::string const& engine, milliseconds duration);
 
   awaitable<pull_reply> answer_pull(rpc::PullBatchRequestT request);
-  bool batch_is_ready(bool deadline_passed) const;
+  bool is_batch_ready(bool deadline_passed) const;
   awaitable<std::optional<pull_reply>> commit_next();
-  awaitable<std::optional<pull_reply>> hand_out_again();
+  awaitable<std::optional<pull_reply>> redeliver_batch();
   awaitable<std::optional<pull_reply>> commit(rpc::DeliveryRecordT record,
                                               std::vector<sample_key> withdrawn);
   awaitable<std::optional<pull_reply>> refuse_after_confirm(rpc::problem refusal);
-  std::optional<pull_reply> take_commit_failure(delivery::commit_answer const& answer);
+  std::optional<pull_reply> handle_commit_failure(delivery::commit_answer const& answer);
   awaitable<bool> reload_record();
   void adopt(rpc::DeliveryRecordT const& record, kv::revision revision);
   void acknowledge_last_batch();
@@ -83,8 +85,8 @@
 
   bool is_stopped() const { return state_ == owner_state::stopped; }
   rpc::TaskRecordT const* task_record() const;
-  std::uint64_t published() const { return dependencies_.config.published_version(task_); }
-  std::uint32_t bound() const;
+  std::uint64_t published_version() const { return dependencies_.config.published_version(task_); }
+  std::uint32_t freshness_bound() const;
 
   node_dependencies& dependencies_;
   std::string task_;
@@ -100,16 +102,16 @@
   std::map<std::string, engine_view> engines_;
   struct active_run {
     std::string engine;
-    /// Node that controls the engine, and since when.
+    /// Node that controls the engine, and the epoch of its ownership.
     std::string controller_node;
     kv::revision controller_epoch = 0;
     sample_key key;
   };
   std::map<std::string, active_run> runs_;
-  /// The bulk data is read once; the record is read again after each doubt.
+  /// Bulk data is loaded once; the delivery record is read again on each recovery.
   bool bulk_loaded_ = false;
   bool committing_ = false;
-  int answering_ = 0;
+  int requests_in_flight_ = 0;
   std::uint64_t delivered_count_ = 0;
 };
 
--- a/src/rollout/shard_runs.cc
+++ b/src/rollout/shard_runs.cc
@@ -1,4 +1,4 @@
-/// @file How a shard's owner runs its samples on engines.
+/// @file Running a shard's samples on engines: dispatch, retries, scoring and storage.
 
 #include <algorithm>
 
@@ -13,15 +13,15 @@
 namespace {
 
 constexpr std::string_view k_part = "rollout";
-/// Longest time a single run may take.
+/// Timeout of the call that runs a sample, including its generation.
 constexpr milliseconds k_run_timeout{45 * 60 * 1000};
-constexpr milliseconds k_failure_pause{300};
-constexpr milliseconds k_retry_pause{50};
+constexpr milliseconds k_failure_backoff{300};
+constexpr milliseconds k_retry_backoff{50};
 constexpr milliseconds k_score_timeout{5000};
-constexpr milliseconds k_score_pause{200};
-constexpr milliseconds k_store_pause{200};
+constexpr milliseconds k_score_backoff{200};
+constexpr milliseconds k_store_backoff{200};
 
-bool allows(rpc::TaskRecordT const& task, std::string const& engine) {
+bool is_engine_allowed(rpc::TaskRecordT const& task, std::string const& engine) {
   auto const& allowed = task.engines;
   return allowed.empty() || std::find(allowed.begin(), allowed.end(), engine) != allowed.end();
 }
@@ -34,9 +34,10 @@
   for (auto const& [id, machine] : dependencies_.machines.machines()) {
     if (machine.kind != machines::machine_kind::engine) continue;
     auto const* owner = dependencies_.config.find_engine_owner(id);
-    bool const leaves =
+    bool const is_leaving =
         machine.leaving || dependencies_.leaving.is_leaving(id, machine.incarnation, {});
-    if (owner == nullptr || leaves || task == nullptr || !allows(*task, id)) continue;
+    if (owner == nullptr || is_leaving || task == nullptr || !is_engine_allowed(*task, id))
+      continue;
     engine_view& view = engines_[id];
     view.id = id;
     view.controller = owner->record.address;
@@ -50,7 +51,7 @@
 }
 
 void shard_owner::dispatch() {
-  if (dependencies_.is_cut_off() || published() == 0 || task_record() == nullptr) return;
+  if (dependencies_.is_cut_off() || published_version() == 0 || task_record() == nullptr) return;
   refresh_engines();
   std::vector<engine_view> views;
   for (auto const& [id, view] : engines_) views.push_back(view);
@@ -73,7 +74,7 @@
   }
 }
 
-/// Gives up runs whose controller is gone; their answers, if any still come, are ignored.
+/// Queues runs again whose controller node is dead. Late replies of those runs are ignored.
 void shard_owner::abandon_lost_runs() {
   std::vector<std::string> lost;
   for (auto const& [attempt, run] : runs_) {
@@ -103,10 +104,12 @@
     std::string engine, rpc::RunSampleRequestT request) {
   auto const local = dependencies_.local_controller(engine);
   if (local) co_return co_await local->run(std::move(request));
-  auto const where = parse_endpoint(engines_[engine].controller);
-  if (!where) co_return rpc::unavailable(rpc::reason::owner_unknown, engine, k_failure_pause);
+  auto const target_endpoint = parse_endpoint(engines_[engine].controller);
+  if (!target_endpoint)
+    co_return rpc::unavailable(rpc::reason::owner_unknown, engine, k_failure_backoff);
   co_return co_await rpc::call<rpc::RunSampleRequestT, rpc::RunSampleResponseT>(
-      dependencies_.transport, *where, "NodeService", "RunSample", request, k_run_timeout);
+      dependencies_.transport, *target_endpoint, "NodeService", "RunSample", request,
+      k_run_timeout);
 }
 
 awaitable<void> shard_owner::run_sample(work_item work, std::string engine) {
@@ -114,7 +117,7 @@
   request.engine = engine;
   request.model = task_record()->model;
   request.task = task_;
-  request.freshness_bound = bound();
+  request.freshness_bound = freshness_bound();
   request.attempt = work.attempt;
   request.prompt = work.group.prompt;
   request.sample_index = work.key.index;
@@ -122,37 +125,38 @@
   request.priority = task_record()->priority;
   request.resume_text = work.resume.text;
   request.resume_spans = engines::to_wire(work.resume.spans);
-  std::uint64_t const newest = published();
-  request.minimum_version = newest > bound() ? newest - bound() : 1;
+  std::uint64_t const newest = published_version();
+  request.minimum_version = newest > freshness_bound() ? newest - freshness_bound() : 1;
   auto answer = co_await call_controller(engine, std::move(request));
   release_slot(engine, work.attempt);
   if (is_stopped()) co_return;
   if (answer) {
-    co_await take_response(work, engine, std::move(answer.value()));
+    co_await handle_run_response(work, engine, std::move(answer.value()));
   } else {
-    take_failure(work, engine, answer.error());
+    handle_run_failure(work, engine, answer.error());
   }
   changed_.notify_all();
 }
 
-void shard_owner::take_failure(work_item const& work, std::string const& engine,
-                               rpc::problem const& issue) {
-  log_line(log_level::warning, k_part, "Run was lost with its controller.",
+void shard_owner::handle_run_failure(work_item const& work, std::string const& engine,
+                                     rpc::problem const& issue) {
+  log_line(log_level::warning, k_part,
+           "Call to the engine controller failed; the run will be retried.",
            {{"attempt", work.attempt}, {"engine", engine}, {"detail", issue.detail}});
-  block_engine(engine, k_failure_pause);
+  block_engine(engine, k_failure_backoff);
   table_.interrupt(work.key, work.attempt, boot_clock::now(), work.resume);
 }
 
-awaitable<void> shard_owner::take_response(work_item const& work, std::string const& engine,
-                                           rpc::RunSampleResponseT response) {
+awaitable<void> shard_owner::handle_run_response(work_item const& work, std::string const& engine,
+                                                 rpc::RunSampleResponseT response) {
   switch (response.outcome) {
     case rpc::RunOutcome::REFUSED:
       block_engine(engine, milliseconds(std::max<std::uint32_t>(response.retry_after_ms, 20)));
       table_.interrupt(work.key, work.attempt, boot_clock::now(), work.resume);
       break;
     case rpc::RunOutcome::INTERRUPTED:
-      block_engine(engine, k_retry_pause);
-      take_interruption(work, response);
+      block_engine(engine, k_retry_backoff);
+      handle_run_interruption(work, response);
       break;
     case rpc::RunOutcome::REJECTED:
     case rpc::RunOutcome::FINISHED: {
@@ -168,33 +172,36 @@
   }
 }
 
-void shard_owner::take_interruption(work_item const& work,
-                                    rpc::RunSampleResponseT const& response) {
-  partial_run rest{response.text, engines::from_wire(response.spans)};
-  bool const usable = engines::is_within_bound(rest.spans, published(), bound());
-  if (!usable && !rest.spans.empty()) {
+void shard_owner::handle_run_interruption(work_item const& work,
+                                          rpc::RunSampleResponseT const& response) {
+  partial_run partial{response.text, engines::from_wire(response.spans)};
+  bool const usable =
+      engines::is_within_bound(partial.spans, published_version(), freshness_bound());
+  if (!usable && !partial.spans.empty()) {
     table_.restart(work.key, work.attempt);
     return;
   }
-  time_point const again = boot_clock::now() + with_jitter(k_retry_pause);
-  table_.interrupt(work.key, work.attempt, again, std::move(rest));
+  time_point const retry_at = boot_clock::now() + with_jitter(k_retry_backoff);
+  table_.interrupt(work.key, work.attempt, retry_at, std::move(partial));
 }
 
-/// Scores and stores a sample until it is done or too old; the sample counts as running meanwhile.
+/// Scores and stores a sample, with retries until both succeed or the sample exceeds the freshness
+/// bound. The sample counts as running until then.
 awaitable<void> shard_owner::complete_sample(finished_sample sample) {
   while (!is_stopped()) {
-    if (!sample.failed && !engines::is_within_bound(sample.spans, published(), bound())) {
+    if (!sample.failed &&
+        !engines::is_within_bound(sample.spans, published_version(), freshness_bound())) {
       table_.restart(sample.key, sample.attempt);
       co_return;
     }
     bool const scored = sample.scored || sample.failed || co_await score(sample);
     if (!scored) {
-      co_await wait_for(with_jitter(k_score_pause));
+      co_await wait_for(with_jitter(k_score_backoff));
       continue;
     }
-    bool const stored = co_await store_copy(sample);
+    bool const stored = co_await store_sample(sample);
     if (stored) break;
-    co_await wait_for(with_jitter(k_store_pause));
+    co_await wait_for(with_jitter(k_store_backoff));
   }
   if (!is_stopped()) table_.finish(std::move(sample));
 }
@@ -202,16 +209,16 @@
 awaitable<bool> shard_owner::score(finished_sample& sample) {
   auto const* task = task_record();
   if (task == nullptr || task->scorer.empty()) co_return true;
-  auto const where = parse_endpoint(task->scorer);
-  if (!where) co_return true;  // checked when the task was put
+  auto const scorer_endpoint = parse_endpoint(task->scorer);
+  if (!scorer_endpoint) co_return true;  // validated when the task was stored
   boost::json::object body;
   body["task"] = task_;
   body["group"] = sample.key.group;
   body["index"] = sample.key.index;
   body["text"] = sample.text;
   auto message = http::make_post("/score", boost::json::serialize(body), http::k_json);
-  auto answer =
-      co_await dependencies_.transport.exchange(*where, std::move(message), k_score_timeout);
+  auto answer = co_await dependencies_.transport.exchange(*scorer_endpoint, std::move(message),
+                                                          k_score_timeout);
   if (!answer || answer.value().result() != http::status::ok) co_return false;
   auto const parsed = parse_json_object(answer.value().body());
   auto const* value = parsed ? parsed->if_contains("score") : nullptr;
@@ -221,7 +228,7 @@
   co_return true;
 }
 
-awaitable<bool> shard_owner::store_copy(finished_sample const& sample) {
+awaitable<bool> shard_owner::store_sample(finished_sample const& sample) {
   rpc::StoreBulkRequestT request;
   request.task = task_;
   request.shard = shard_;
--- a/src/rollout/wire.h
+++ b/src/rollout/wire.h
@@ -1,4 +1,4 @@
-/// @file Samples and groups to and from their messages. Pure.
+/// @file Conversion of samples and groups between internal types and RPC messages.
 #pragma once
 
 #include <memory>
--- a/tests/unit/bulk/bulk_store_test.cc
+++ b/tests/unit/bulk/bulk_store_test.cc
@@ -27,7 +27,7 @@
   }
 };
 
-TEST(bulk_store_test, content_outlives_the_process) {
+TEST(bulk_store_test, content_survives_reopening) {
   {
     auto store = bulk::store::open(folder);
     CHECK(store.value()->put(request(1, 10)).has_value());
@@ -39,7 +39,7 @@
   LONGS_EQUAL(0, store.value()->load("t", 1).value().groups.size());
 }
 
-TEST(bulk_store_test, forgetting_removes_only_older_groups) {
+TEST(bulk_store_test, forget_below_deletes_only_older_groups) {
   auto store = bulk::store::open(folder);
   for (std::uint64_t group = 0; group < 5; ++group) {
     CHECK(store.value()->put(request(group, 1)).has_value());
@@ -81,11 +81,11 @@
   boost::filesystem::remove_all(folder + "-copy");
 }
 
-TEST(bulk_store_test, folder_that_cannot_be_made_is_an_error) {
-  CHECK(bulk::store::open("/proc/nowhere").error() == bulk::errc::can_not_open);
+TEST(bulk_store_test, open_fails_if_folder_cannot_be_created) {
+  CHECK(bulk::store::open("/proc/nowhere").error() == bulk::errc::open_failed);
 }
 
-TEST(bulk_store_test, second_copy_goes_to_another_zone) {
+TEST(bulk_store_test, second_replica_is_in_another_zone) {
   std::vector<bulk::replica> const candidates = {
       {"a", "z1", ""}, {"b", "z1", ""}, {"c", "z1", ""}, {"d", "z2", ""}};
   for (int shard = 0; shard < 20; ++shard) {
