--- a/tests/unit/config/config_store_test.cc
+++ b/tests/unit/config/config_store_test.cc
@@ -36,14 +36,14 @@
   LONGS_EQUAL(2, bound_of(store, "a"));
 }
 
-TEST(config_store_test, deleted_key_does_not_come_back_with_an_older_put) {
+TEST(config_store_test, older_put_does_not_restore_deleted_key) {
   store.apply({task_key("a"), 5, task_value("a", 1), false});
   store.apply({task_key("a"), 8, {}, true});
   CHECK(store.apply({task_key("a"), 6, task_value("a", 1), false}) == apply_result::older);
   POINTERS_EQUAL(nullptr, store.find_task("a"));
 }
 
-TEST(config_store_test, stale_read_is_refused_whole) {
+TEST(config_store_test, stale_snapshot_is_rejected) {
   store.apply({task_key("a"), 9, task_value("a", 2), false});
   kv::range_answer old;
   old.store_revision = 5;
@@ -53,7 +53,7 @@
   LONGS_EQUAL(2, bound_of(store, "a"));
 }
 
-TEST(config_store_test, read_older_than_what_a_peer_holds_is_refused) {
+TEST(config_store_test, snapshot_older_than_peer_revision_is_rejected) {
   store.note_peer_revision(20);
   kv::range_answer read;
   read.store_revision = 19;
@@ -61,7 +61,7 @@
   CHECK_FALSE(store.is_complete());
 }
 
-TEST(config_store_test, snapshot_deletes_what_it_lacks) {
+TEST(config_store_test, snapshot_deletes_missing_keys) {
   store.apply({task_key("a"), 3, task_value("a", 1), false});
   kv::range_answer read;
   read.store_revision = 6;
@@ -73,7 +73,7 @@
   LONGS_EQUAL(6, store.revision());
 }
 
-TEST(config_store_test, unreadable_value_leaves_the_one_in_force) {
+TEST(config_store_test, malformed_value_keeps_previous_one) {
   store.apply({task_key("a"), 3, task_value("a", 1), false});
   CHECK(store.apply({task_key("a"), 4, "garbage", false}) == apply_result::malformed);
   LONGS_EQUAL(1, bound_of(store, "a"));
--- a/tests/unit/node/settings_test.cc
+++ b/tests/unit/node/settings_test.cc
@@ -21,7 +21,7 @@
   }
 };
 
-TEST(settings_test, good_file_is_read) {
+TEST(settings_test, valid_file_is_read) {
   auto const errors = read(
       "[node]\nid = 'n1'\nzone = 'z1'\n"
       "[listen]\nhttp = '127.0.0.1:7000'\ngossip = '127.0.0.1:7001'\n"
@@ -33,7 +33,7 @@
   LONGS_EQUAL(5000, all.drain_time.count());
 }
 
-TEST(settings_test, unknown_key_is_named_with_its_file) {
+TEST(settings_test, unknown_key_error_names_key_and_file) {
   auto const errors = read("[node]\nidd = 'x'\n[listem]\nhttp = 'x'\n");
   LONGS_EQUAL(2, errors.size());
   STRCMP_EQUAL("listem.http", errors[0].key.c_str());
@@ -42,7 +42,7 @@
   STRCMP_EQUAL(path.string().c_str(), errors[1].source.c_str());
 }
 
-TEST(settings_test, wrong_values_are_named_with_what_is_allowed) {
+TEST(settings_test, invalid_value_error_states_allowed_values) {
   auto const errors = read(
       "[listen]\nhttp = 'localhost:7000'\n[stop]\ndrain_seconds = 0\n"
       "[limits]\nbody_bytes = 'big'\n[platform]\nkv = []\n");
@@ -50,7 +50,7 @@
   for (auto const& error : errors) CHECK(error.reason.starts_with("must be"));
 }
 
-TEST(settings_test, syntax_error_names_its_line) {
+TEST(settings_test, syntax_error_states_line) {
   auto const errors = read("[node]\nid = \n");
   LONGS_EQUAL(1, errors.size());
   CHECK(errors[0].key.starts_with("line "));
@@ -60,7 +60,7 @@
   LONGS_EQUAL(1, read_settings("/nonexistent/file.toml", all).size());
 }
 
-TEST(settings_test, what_is_missing_is_listed) {
+TEST(settings_test, missing_required_settings_are_listed) {
   auto const errors = check_settings(all, "flags");
   LONGS_EQUAL(6, errors.size());
   STRCMP_EQUAL("flags: node.id: is missing", errors[0].to_string().c_str());
--- a/tests/unit/rollout/placement_test.cc
+++ b/tests/unit/rollout/placement_test.cc
@@ -20,11 +20,11 @@
   }
 };
 
-TEST(placement_test, unknown_policy_is_refused) {
+TEST(placement_test, unknown_policy_returns_null) {
   CHECK(make_placement_policy("newest", 1) == nullptr);
 }
 
-TEST(placement_test, full_and_blocked_engines_are_left_out) {
+TEST(placement_test, full_and_blocked_engines_are_skipped) {
   auto const policy = make_placement_policy("round_robin", 1);
   engines[0].in_flight = 4;
   engines[1].blocked_until = now + milliseconds(1);
@@ -35,14 +35,14 @@
   CHECK_FALSE(place(*policy, engines, {}, now).has_value());
 }
 
-TEST(placement_test, least_loaded_takes_the_emptiest) {
+TEST(placement_test, least_loaded_chooses_lowest_load) {
   auto const policy = make_placement_policy("least_loaded", 1);
   engines[0].in_flight = 2;
   engines[2].in_flight = 1;
   LONGS_EQUAL(1, *place(*policy, engines, {}, now));
 }
 
-TEST(placement_test, samples_of_a_group_go_to_one_engine_until_it_is_busy) {
+TEST(placement_test, group_stays_on_one_engine_until_it_is_busy) {
   auto const policy = make_placement_policy("prefix_affinity", 1);
   std::size_t const home = *place(*policy, engines, {7, ""}, now);
   for (int round = 0; round < 10; ++round)
--- a/tests/unit/rollout/sample_table_test.cc
+++ b/tests/unit/rollout/sample_table_test.cc
@@ -57,7 +57,7 @@
   LONGS_EQUAL(4, engines::token_count(resumed->resume.spans));
 }
 
-TEST(sample_table_test, stale_finished_samples_go_back) {
+TEST(sample_table_test, stale_finished_samples_are_queued_again) {
   add(0, 2);
   table.finish(finish(*table.take_next(now), 4));
   table.finish(finish(*table.take_next(now), 6));
@@ -68,7 +68,7 @@
   LONGS_EQUAL(1, table.take_next(now)->key.index == 0);
 }
 
-TEST(sample_table_test, failed_samples_do_not_age) {
+TEST(sample_table_test, failed_samples_are_never_stale) {
   add(0, 1);
   auto sample = finish(*table.take_next(now), 0);
   sample.failed = true;
@@ -95,14 +95,14 @@
   CHECK(table.take_next(now).has_value());
 }
 
-TEST(sample_table_test, same_group_again_is_known_other_content_a_conflict) {
+TEST(sample_table_test, resubmitted_group_is_known_or_conflicts) {
   add(0, 1);
   CHECK(table.add_group({0, "prompt", 1, 64}, delivered) == add_result::known);
   CHECK(table.add_group({0, "other", 1, 64}, delivered) == add_result::conflict);
   LONGS_EQUAL(1, table.counts().queued);
 }
 
-TEST(sample_table_test, counts_stay_right_when_delivered_while_queued_or_running) {
+TEST(sample_table_test, counts_are_correct_if_delivered_while_queued_or_running) {
   add(0, 2);
   auto const running = table.take_next(now);
   table.mark_delivered({{0, 0}, {0, 1}});
