--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -251,9 +251,9 @@
   time_point const now = boot_clock::now();
   if (!members_.knows_other_members()) return false;
   if (config_sync_.kv_age(now) < k_kv_silence_timeout) return false;
-  time_point const heard = members_.last_heard_outside_zone();
+  time_point const last_heard = members_.last_heard_outside_zone();
   // time_point::min() means never; subtracting it would overflow.
-  return heard == time_point::min() || now - heard > k_peer_silence_timeout;
+  return last_heard == time_point::min() || now - last_heard > k_peer_silence_timeout;
 }
 
 void node::components::apply_machine_list() {
--- a/src/rollout/service.cc
+++ b/src/rollout/service.cc
@@ -81,7 +81,7 @@
   reconcile_engines();
   for (auto const& [name, owner] : owners_) owner->on_change();
   for (auto const& [id, controller] : controllers_) controller->on_config_change();
-  for (auto const& controller : retired_) controller->on_config_change();
+  for (auto const& controller : draining_controllers_) controller->on_config_change();
 }
 
 void service::reconcile_shards() {
@@ -109,7 +109,7 @@
 void service::reconcile_engines() {
   auto const retire = [this](std::shared_ptr<engines::controller> const& controller) {
     controller->stop();
-    if (controller->in_flight() > 0) retired_.push_back(controller);
+    if (controller->in_flight() > 0) draining_controllers_.push_back(controller);
   };
   for (auto const& [id, machine] : dependencies_.machines.machines()) {
     if (machine.kind != machines::machine_kind::engine) continue;
@@ -130,7 +130,8 @@
     controllers_[id] = controller;
     controller->start();
   }
-  std::erase_if(retired_, [](auto const& controller) { return controller->in_flight() == 0; });
+  std::erase_if(draining_controllers_,
+                [](auto const& controller) { return controller->in_flight() == 0; });
 }
 
 void service::stop_owners() {
@@ -141,13 +142,13 @@
 
 void service::abandon_runs() {
   for (auto const& [id, controller] : controllers_) controller->give_up_all();
-  for (auto const& controller : retired_) controller->give_up_all();
+  for (auto const& controller : draining_controllers_) controller->give_up_all();
 }
 
 std::size_t service::runs_in_flight() const {
   std::size_t total = 0;
   for (auto const& [id, controller] : controllers_) total += controller->in_flight();
-  for (auto const& controller : retired_) total += controller->in_flight();
+  for (auto const& controller : draining_controllers_) total += controller->in_flight();
   return total;
 }
 
--- a/src/rollout/service.h
+++ b/src/rollout/service.h
@@ -59,7 +59,7 @@
   std::map<std::string, std::shared_ptr<shard_owner>> owners_;
   std::map<std::string, std::shared_ptr<engines::controller>> controllers_;
   /// Replaced controllers whose runs have not ended yet.
-  std::vector<std::shared_ptr<engines::controller>> retired_;
+  std::vector<std::shared_ptr<engines::controller>> draining_controllers_;
   bool stopping_ = false;
 };
 
--- a/src/rollout/shard_batches.cc
+++ b/src/rollout/shard_batches.cc
@@ -55,12 +55,12 @@
 
 awaitable<shard_owner::pull_reply> shard_owner::pull(rpc::PullBatchRequestT request) {
   ++requests_in_flight_;
-  auto answer = co_await answer_pull(std::move(request));
+  auto answer = co_await handle_pull(std::move(request));
   --requests_in_flight_;
   co_return answer;
 }
 
-awaitable<shard_owner::pull_reply> shard_owner::answer_pull(rpc::PullBatchRequestT request) {
+awaitable<shard_owner::pull_reply> shard_owner::handle_pull(rpc::PullBatchRequestT request) {
   std::uint32_t const wait_ms = std::min(request.max_wait_ms, k_max_wait_ms);
   time_point const deadline = boot_clock::now() + milliseconds(wait_ms);
   while (true) {
--- a/src/rollout/shard_owner.h
+++ b/src/rollout/shard_owner.h
@@ -57,7 +57,7 @@
   awaitable<rpc::reply<rpc::RunSampleResponseT>> call_controller(std::string engine,
                                                                  rpc::RunSampleRequestT request);
   void handle_run_failure(work_item const& work, std::string const& engine,
-                          rpc::problem const& issue);
+                          rpc::problem const& failure);
   awaitable<void> handle_run_response(work_item const& work, std::string const& engine,
                                       rpc::RunSampleResponseT response);
   void handle_run_interruption(work_item const& work, rpc::RunSampleResponseT const& response);
@@ -67,7 +67,7 @@
   void release_slot(std::string const& engine, std::string const& attempt);
   void block_engine(std::string const& engine, milliseconds duration);
 
-  awaitable<pull_reply> answer_pull(rpc::PullBatchRequestT request);
+  awaitable<pull_reply> handle_pull(rpc::PullBatchRequestT request);
   bool is_batch_ready(bool deadline_passed) const;
   awaitable<std::optional<pull_reply>> commit_next();
   awaitable<std::optional<pull_reply>> redeliver_batch();
--- a/src/rollout/shard_runs.cc
+++ b/src/rollout/shard_runs.cc
@@ -139,10 +139,10 @@
 }
 
 void shard_owner::handle_run_failure(work_item const& work, std::string const& engine,
-                                     rpc::problem const& issue) {
+                                     rpc::problem const& failure) {
   log_line(log_level::warning, k_part,
            "Call to the engine controller failed; the run will be retried.",
-           {{"attempt", work.attempt}, {"engine", engine}, {"detail", issue.detail}});
+           {{"attempt", work.attempt}, {"engine", engine}, {"detail", failure.detail}});
   block_engine(engine, k_failure_backoff);
   table_.interrupt(work.key, work.attempt, boot_clock::now(), work.resume);
 }
--- a/tests/unit/node/settings_test.cc
+++ b/tests/unit/node/settings_test.cc
@@ -11,13 +11,13 @@
 TEST_GROUP(settings_test) {
   boost::filesystem::path path =
       boost::filesystem::temp_directory_path() / boost::filesystem::unique_path("%%%%%%.toml");
-  settings all;
+  settings values;
 
   void teardown() override { boost::filesystem::remove(path); }
 
   std::vector<settings_error> read(std::string const& text) {
     std::ofstream(path.string()) << text;
-    return read_settings(path.string(), all);
+    return read_settings(path.string(), values);
   }
 };
 
@@ -28,9 +28,9 @@
       "[platform]\nkv = ['127.0.0.1:1', '127.0.0.1:2']\nmachines = '127.0.0.1:3'\n"
       "[stop]\ndrain_seconds = 5\n");
   CHECK(errors.empty());
-  CHECK(check_settings(all, "file").empty());
-  LONGS_EQUAL(2, all.kv.size());
-  LONGS_EQUAL(5000, all.drain_time.count());
+  CHECK(check_settings(values, "file").empty());
+  LONGS_EQUAL(2, values.kv.size());
+  LONGS_EQUAL(5000, values.drain_time.count());
 }
 
 TEST(settings_test, unknown_key_error_names_key_and_file) {
@@ -57,11 +57,11 @@
 }
 
 TEST(settings_test, missing_file_is_an_error) {
-  LONGS_EQUAL(1, read_settings("/nonexistent/file.toml", all).size());
+  LONGS_EQUAL(1, read_settings("/nonexistent/file.toml", values).size());
 }
 
 TEST(settings_test, missing_required_settings_are_listed) {
-  auto const errors = check_settings(all, "flags");
+  auto const errors = check_settings(values, "flags");
   LONGS_EQUAL(6, errors.size());
   STRCMP_EQUAL("flags: node.id: is missing", errors[0].to_string().c_str());
 }
--- a/tests/unit/rollout/sample_table_test.cc
+++ b/tests/unit/rollout/sample_table_test.cc
@@ -35,7 +35,7 @@
   CHECK(first->attempt != second->attempt);
 }
 
-TEST(sample_table_test, late_answer_of_an_abandoned_attempt_is_ignored) {
+TEST(sample_table_test, late_reply_of_abandoned_attempt_is_ignored) {
   add(0, 1);
   auto const lost = table.take_next(now);
   table.interrupt(lost->key, lost->attempt, now, {});
