--- a/src/gateway/operator_requests.cc
+++ b/src/gateway/operator_requests.cc
@@ -27,7 +27,7 @@
   callbacks.event = [this](kv::watch_event const& event) {
     if (!event.deleted) take(event.entry);
   };
-  follower_ = std::make_shared<kv::follower>(
+  follower_ = std::make_shared<kv::prefix_watcher>(
       context_, adapter_.store(), adapter_.keys().operators_prefix, std::move(callbacks),
       kv::follower_options{k_pause, kv::k_prompt_watch_wait});
   follower_->start();
--- a/src/gateway/operator_requests.h
+++ b/src/gateway/operator_requests.h
@@ -38,7 +38,7 @@
   platform_adapter& adapter_;
   pools& pools_;
   std::function<void(std::string_view)> take_configuration_;
-  std::shared_ptr<kv::follower> follower_;
+  std::shared_ptr<kv::prefix_watcher> follower_;
   /// Requests to empty a machine that were taken, by key and revision.
   std::set<std::string> emptied_;
   bool stopped_ = false;
--- a/src/kv/follower.cc
+++ b/src/kv/follower.cc
@@ -17,22 +17,23 @@
 
 }  // namespace
 
-follower::follower(asio::io_context& context, record_store& store, std::string prefix,
-                   follower_callbacks callbacks, follower_options options)
+prefix_watcher::prefix_watcher(asio::io_context& context, record_store& store, std::string prefix,
+                               follower_callbacks callbacks, follower_options options)
     : context_(context),
       store_(store),
       prefix_(std::move(prefix)),
       callbacks_(std::move(callbacks)),
       options_(options) {}
 
-void follower::start() {
+void prefix_watcher::start() {
   current_ = false;
   spawn(context_, follow_loop(shared_from_this(), ++round_));
 }
 
-void follower::resynchronize() { start(); }
+void prefix_watcher::resynchronize() { start(); }
 
-awaitable<void> follower::follow_loop(std::shared_ptr<follower> self, std::uint64_t round) {
+awaitable<void> prefix_watcher::follow_loop(std::shared_ptr<prefix_watcher> self,
+                                            std::uint64_t round) {
   bool listed = false;
   std::uint32_t in_vain = 0;
   while (round == round_) {
@@ -48,7 +49,7 @@
   }
 }
 
-awaitable<bool> follower::list_once(std::uint64_t round) {
+awaitable<bool> prefix_watcher::list_once(std::uint64_t round) {
   time_point const asked = boot_clock::now();
   auto answer = co_await store_.list(prefix_);
   if (round != round_ || !answer) co_return false;
@@ -66,7 +67,7 @@
   co_return true;
 }
 
-awaitable<bool> follower::watch_once(std::uint64_t round) {
+awaitable<bool> prefix_watcher::watch_once(std::uint64_t round) {
   time_point const asked = boot_clock::now();
   auto answer = co_await store_.watch(prefix_, at_, options_.watch_wait);
   if (round != round_) co_return false;
--- a/src/kv/follower.h
+++ b/src/kv/follower.h
@@ -11,7 +11,7 @@
 
 namespace frostline::kv {
 
-/// What a follower tells. `snapshot` replaces everything known below the prefix.
+/// What a prefix_watcher tells. `snapshot` replaces everything known below the prefix.
 struct follower_callbacks {
   std::function<void(range_answer const&)> snapshot;
   std::function<void(watch_event const&)> event;
@@ -41,10 +41,10 @@
 };
 
 /// Held by a shared pointer: a watch that waits keeps it alive.
-class follower : public std::enable_shared_from_this<follower> {
+class prefix_watcher : public std::enable_shared_from_this<prefix_watcher> {
  public:
-  follower(asio::io_context& context, record_store& store, std::string prefix,
-           follower_callbacks callbacks, follower_options options);
+  prefix_watcher(asio::io_context& context, record_store& store, std::string prefix,
+                 follower_callbacks callbacks, follower_options options);
 
   void start();
   /// Nothing is told any more; a watch that waits ends by itself.
@@ -65,7 +65,7 @@
   time_point answered_at() const { return answered_at_; }
 
  private:
-  awaitable<void> follow_loop(std::shared_ptr<follower> self, std::uint64_t round);
+  awaitable<void> follow_loop(std::shared_ptr<prefix_watcher> self, std::uint64_t round);
   awaitable<bool> list_once(std::uint64_t round);
   awaitable<bool> watch_once(std::uint64_t round);
 
--- a/src/relay/store_source.cc
+++ b/src/relay/store_source.cc
@@ -15,7 +15,7 @@
 constexpr milliseconds k_contact_interval{500};
 constexpr milliseconds k_contact_timeout{300};
 constexpr milliseconds k_retry_pause{100};
-/// Relays hear of a change within some milliseconds of each other; a follower's longest pause
+/// Relays hear of a change within some milliseconds of each other; a prefix_watcher's longest pause
 /// between two watches is 0.4 s.
 constexpr milliseconds k_expected_time{700};
 
@@ -36,7 +36,7 @@
       wanted_(context) {}
 
 void store_source::follow(topic one, bool wanted) {
-  std::shared_ptr<kv::follower>& place = slot(one);
+  std::shared_ptr<kv::prefix_watcher>& place = slot(one);
   if (wanted == (place != nullptr)) return;
   if (!wanted) {
     place->stop();
@@ -49,8 +49,8 @@
   callbacks.complete_to = [this, one](kv::revision at) { callbacks_.complete_to(one, at); };
   callbacks.watch_silent = [this, one] { note_silent_watch(one); };
   kv::follower_options const options{pauses_[index_of(one)], watch_wait_of(one)};
-  place = std::make_shared<kv::follower>(context_, store_, prefixes_[index_of(one)],
-                                         std::move(callbacks), options);
+  place = std::make_shared<kv::prefix_watcher>(context_, store_, prefixes_[index_of(one)],
+                                               std::move(callbacks), options);
   place->start();
   wanted_.notify_all();
 }
--- a/src/relay/store_source.h
+++ b/src/relay/store_source.h
@@ -60,8 +60,10 @@
   void resynchronize(std::string_view cause);
 
  private:
-  std::shared_ptr<kv::follower>& slot(topic one) { return followers_[index_of(one)]; }
-  std::shared_ptr<kv::follower> const& slot(topic one) const { return followers_[index_of(one)]; }
+  std::shared_ptr<kv::prefix_watcher>& slot(topic one) { return followers_[index_of(one)]; }
+  std::shared_ptr<kv::prefix_watcher> const& slot(topic one) const {
+    return followers_[index_of(one)];
+  }
   /// Asks the store for a sign of life while a topic is followed.
   awaitable<void> contact_loop();
   void note_contact(bool answered, time_point asked);
@@ -72,7 +74,7 @@
   kv::record_store& store_;
   topic_prefixes prefixes_;
   source_callbacks callbacks_;
-  std::array<std::shared_ptr<kv::follower>, k_topics.size()> followers_;
+  std::array<std::shared_ptr<kv::prefix_watcher>, k_topics.size()> followers_;
   std::array<milliseconds, k_topics.size()> pauses_{};
   /// The newest change of a topic that others know of, while it is waited for; 0: none.
   std::array<kv::revision, k_topics.size()> expected_{};
--- a/tests/unit/kv/follower_test.cc
+++ b/tests/unit/kv/follower_test.cc
@@ -1,4 +1,4 @@
-/// @file A follower keeps its view in step with the store.
+/// @file A prefix_watcher keeps its view in step with the store.
 
 #include "kv/follower.h"
 
@@ -16,7 +16,7 @@
   memory_record_store store{context};
   std::set<std::string> view;
   int snapshots = 0;
-  std::shared_ptr<kv::follower> one;
+  std::shared_ptr<kv::prefix_watcher> one;
 
   void setup() override {
     kv::follower_callbacks callbacks;
@@ -32,8 +32,8 @@
         view.insert(event.entry.key);
       }
     };
-    one = std::make_shared<kv::follower>(context, store, "a/", std::move(callbacks),
-                                         kv::follower_options());
+    one = std::make_shared<kv::prefix_watcher>(context, store, "a/", std::move(callbacks),
+                                               kv::follower_options());
   }
 
   /// Runs what is ready, and timers of some milliseconds.
