--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -217,14 +217,14 @@
 }
 
 void application::components::listen_to_records() {
-  kv::follower_callbacks on_configuration;
+  kv::prefix_watcher_callbacks on_configuration;
   on_configuration.snapshot = [this](kv::range_answer const& all) {
     for (kv::key_value const& one : all.entries) take_configuration_record(one);
   };
   on_configuration.event = [this](kv::watch_event const& event) {
     if (!event.deleted) take_configuration_record(event.entry);
   };
-  kv::follower_callbacks on_owners;
+  kv::prefix_watcher_callbacks on_owners;
   on_owners.snapshot = [this](kv::range_answer const& all) {
     pools_.take_owners(all);
     if (duties_) duties_->take_owners(all);
--- a/src/gateway/operator_requests.cc
+++ b/src/gateway/operator_requests.cc
@@ -20,7 +20,7 @@
 }
 
 void operator_requests::start() {
-  kv::follower_callbacks callbacks;
+  kv::prefix_watcher_callbacks callbacks;
   callbacks.snapshot = [this](kv::range_answer const& all) {
     for (kv::key_value const& one : all.entries) take(one);
   };
--- a/src/gateway/server_watch.cc
+++ b/src/gateway/server_watch.cc
@@ -23,8 +23,8 @@
   return std::clamp(written_again, now, std::max(now, now + leave_time - k_leave_margin));
 }
 
-kv::follower_callbacks server_watch::listener() {
-  kv::follower_callbacks callbacks;
+kv::prefix_watcher_callbacks server_watch::listener() {
+  kv::prefix_watcher_callbacks callbacks;
   callbacks.snapshot = [this](kv::range_answer const& all) { take_all(all); };
   callbacks.event = [this](kv::watch_event const& event) { take_one(event); };
   callbacks.dropped = [this](std::vector<std::string> const& keys) { forget(keys); };
--- a/src/gateway/server_watch.h
+++ b/src/gateway/server_watch.h
@@ -34,7 +34,7 @@
         store_back_at_(std::move(store_back_at)) {}
 
   /// To be told of the servers' records.
-  kv::follower_callbacks listener();
+  kv::prefix_watcher_callbacks listener();
   /// Records that were passed over since they can't be read.
   std::uint64_t malformed() const { return malformed_; }
   /// Whom a server's record concerns: who calls its service. Records that differ only in what the
--- a/src/kv/follower.h
+++ b/src/kv/follower.h
@@ -12,7 +12,7 @@
 namespace frostline::kv {
 
 /// What a prefix_watcher tells. `snapshot` replaces everything known below the prefix.
-struct follower_callbacks {
+struct prefix_watcher_callbacks {
   std::function<void(range_answer const&)> snapshot;
   std::function<void(watch_event const&)> event;
   /// After each answer: all changes up to this revision have been told. Not needed.
@@ -44,7 +44,7 @@
 class prefix_watcher : public std::enable_shared_from_this<prefix_watcher> {
  public:
   prefix_watcher(asio::io_context& context, record_store& store, std::string prefix,
-                 follower_callbacks callbacks, follower_options options);
+                 prefix_watcher_callbacks callbacks, follower_options options);
 
   void start();
   /// Nothing is told any more; a watch that waits ends by itself.
@@ -72,7 +72,7 @@
   asio::io_context& context_;
   record_store& store_;
   std::string prefix_;
-  follower_callbacks callbacks_;
+  prefix_watcher_callbacks callbacks_;
   follower_options options_;
   /// Grows with each resynchronization; a loop of an older round ends without a word.
   std::uint64_t round_ = 0;
--- a/src/quarantine/service.cc
+++ b/src/quarantine/service.cc
@@ -321,8 +321,8 @@
            {{"fingerprint", request.to_string()}, {"cause", cause}});
 }
 
-kv::follower_callbacks service::listener() {
-  kv::follower_callbacks callbacks;
+kv::prefix_watcher_callbacks service::listener() {
+  kv::prefix_watcher_callbacks callbacks;
   callbacks.snapshot = [this](kv::range_answer const& all) {
     first_sight const seen = has_had_records_ ? first_sight::later : first_sight::at_start;
     has_had_records_ = true;
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -74,7 +74,7 @@
 
   void start() { spawn(dependencies_.context, report_loop()); }
   /// To be told of the store's records.
-  kv::follower_callbacks listener();
+  kv::prefix_watcher_callbacks listener();
   /// Registers what other nodes call.
   void add_methods(rpc::dispatcher& methods);
   /// Forgets what was seen long ago.
--- a/src/relay/record_feed.cc
+++ b/src/relay/record_feed.cc
@@ -85,7 +85,7 @@
   source_.set_pause(topic::SERVERS, k_servers_pause);
   views_.on_change([this] { service_.notify(); });
   service_.on_newer([this](endpoint peer) { spawn(context_, ask_back(std::move(peer))); });
-  kv::follower_callbacks on_relays;
+  kv::prefix_watcher_callbacks on_relays;
   on_relays.snapshot = [this](kv::range_answer const& all) {
     relays_.take_all(all);
     note_relays();
@@ -141,7 +141,7 @@
   if (source_.is_silent()) views_.note_store_back(boot_clock::now());
 }
 
-void record_feed::listen(topic one, kv::follower_callbacks listener) {
+void record_feed::listen(topic one, kv::prefix_watcher_callbacks listener) {
   views_.listen(one, std::move(listener));
 }
 
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -71,7 +71,7 @@
               feed_options options, std::function<std::optional<endpoint>()> find_owner);
 
   /// Who hears of a topic's changes; to be set before start.
-  void listen(topic one, kv::follower_callbacks listener);
+  void listen(topic one, kv::prefix_watcher_callbacks listener);
   /// Runs when the store answers this node again after a silence, or a watch got no answer: watches
   /// that others began before may be dead without showing it. Only nodes that follow a topic at the
   /// store notice.
--- a/src/relay/store_source.cc
+++ b/src/relay/store_source.cc
@@ -43,7 +43,7 @@
     place.reset();
     return;
   }
-  kv::follower_callbacks callbacks;
+  kv::prefix_watcher_callbacks callbacks;
   callbacks.snapshot = [this, one](kv::range_answer const& all) { callbacks_.snapshot(one, all); };
   callbacks.event = [this, one](kv::watch_event const& event) { callbacks_.event(one, event); };
   callbacks.complete_to = [this, one](kv::revision at) { callbacks_.complete_to(one, at); };
--- a/src/relay/topic_views.h
+++ b/src/relay/topic_views.h
@@ -20,7 +20,7 @@
 
   /// The first snapshot of a topic is told whole, and one of another part of its records;
   /// everything else as events, nothing of it twice.
-  void listen(topic one, kv::follower_callbacks listener) {
+  void listen(topic one, kv::prefix_watcher_callbacks listener) {
     listeners_[index_of(one)] = std::move(listener);
   }
   /// Runs after each change that other nodes should hear of.
@@ -50,7 +50,7 @@
   void tell_dropped(topic one, std::vector<std::string> const& keys);
 
   std::array<record_view, k_topics.size()> views_;
-  std::array<kv::follower_callbacks, k_topics.size()> listeners_;
+  std::array<kv::prefix_watcher_callbacks, k_topics.size()> listeners_;
   std::array<time_point, k_topics.size()> confirmed_at_;
   time_point store_back_at_ = time_point::min();
   std::function<void()> changed_;
--- a/tests/unit/kv/follower_test.cc
+++ b/tests/unit/kv/follower_test.cc
@@ -19,7 +19,7 @@
   std::shared_ptr<kv::prefix_watcher> one;
 
   void setup() override {
-    kv::follower_callbacks callbacks;
+    kv::prefix_watcher_callbacks callbacks;
     callbacks.snapshot = [this](kv::range_answer const& all) {
       ++snapshots;
       view.clear();
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -52,13 +52,13 @@
     }
     feed = std::make_unique<record_feed>(context, store, transport, std::move(options),
                                          [this] { return owner; });
-    kv::follower_callbacks listener;
+    kv::prefix_watcher_callbacks listener;
     listener.snapshot = [this](kv::range_answer const& all) {
       for (auto const& entry : all.entries) configuration = entry.value;
     };
     listener.event = [this](kv::watch_event const& event) { configuration = event.entry.value; };
     feed->listen(topic::CONFIGURATION, std::move(listener));
-    kv::follower_callbacks on_servers;
+    kv::prefix_watcher_callbacks on_servers;
     on_servers.event = [this](kv::watch_event const& event) { server_value = event.entry.value; };
     feed->listen(topic::SERVERS, std::move(on_servers));
     feed->add_methods(methods);
