--- a/src/gateway/operator_requests.cc
+++ b/src/gateway/operator_requests.cc
@@ -29,7 +29,7 @@
   };
   follower_ = std::make_shared<kv::prefix_watcher>(
       context_, adapter_.store(), adapter_.keys().operators_prefix, std::move(callbacks),
-      kv::follower_options{k_pause, kv::k_prompt_watch_wait});
+      kv::prefix_watcher_options{k_pause, kv::k_prompt_watch_wait});
   follower_->start();
 }
 
--- a/src/kv/follower.cc
+++ b/src/kv/follower.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 prefix_watcher::prefix_watcher(asio::io_context& context, record_store& store, std::string prefix,
-                               prefix_watcher_callbacks callbacks, follower_options options)
+                               prefix_watcher_callbacks callbacks, prefix_watcher_options options)
     : context_(context),
       store_(store),
       prefix_(std::move(prefix)),
--- a/src/kv/follower.h
+++ b/src/kv/follower.h
@@ -32,7 +32,7 @@
 /// the kernel's probes in 3 s.
 inline constexpr milliseconds k_watch_wait{10'000};
 
-struct follower_options {
+struct prefix_watcher_options {
   /// Time between an answer and the next watch; changes meanwhile arrive together.
   milliseconds pause{0};
   /// Longest time one watch waits at the store. A watch whose connection has gone silent, or whose
@@ -44,7 +44,7 @@
 class prefix_watcher : public std::enable_shared_from_this<prefix_watcher> {
  public:
   prefix_watcher(asio::io_context& context, record_store& store, std::string prefix,
-                 prefix_watcher_callbacks callbacks, follower_options options);
+                 prefix_watcher_callbacks callbacks, prefix_watcher_options options);
 
   void start();
   /// Nothing is told any more; a watch that waits ends by itself.
@@ -73,7 +73,7 @@
   record_store& store_;
   std::string prefix_;
   prefix_watcher_callbacks callbacks_;
-  follower_options options_;
+  prefix_watcher_options options_;
   /// Grows with each resynchronization; a loop of an older round ends without a word.
   std::uint64_t round_ = 0;
   revision at_ = 0;
--- a/src/relay/store_source.cc
+++ b/src/relay/store_source.cc
@@ -48,7 +48,7 @@
   callbacks.event = [this, one](kv::watch_event const& event) { callbacks_.event(one, event); };
   callbacks.complete_to = [this, one](kv::revision at) { callbacks_.complete_to(one, at); };
   callbacks.watch_silent = [this, one] { note_silent_watch(one); };
-  kv::follower_options const options{pauses_[index_of(one)], watch_wait_of(one)};
+  kv::prefix_watcher_options const options{pauses_[index_of(one)], watch_wait_of(one)};
   place = std::make_shared<kv::prefix_watcher>(context_, store_, prefixes_[index_of(one)],
                                                std::move(callbacks), options);
   place->start();
--- a/tests/unit/kv/follower_test.cc
+++ b/tests/unit/kv/follower_test.cc
@@ -33,7 +33,7 @@
       }
     };
     one = std::make_shared<kv::prefix_watcher>(context, store, "a/", std::move(callbacks),
-                                               kv::follower_options());
+                                               kv::prefix_watcher_options());
   }
 
   /// Runs what is ready, and timers of some milliseconds.
