--- a/src/kv/breaker.h
+++ b/src/kv/breaker.h
@@ -10,9 +10,9 @@
 
 namespace frostline::kv {
 
-class breaker {
+class circuit_breaker {
  public:
-  explicit breaker(std::uint64_t seed) : random_(seed) {}
+  explicit circuit_breaker(std::uint64_t seed) : random_(seed) {}
 
   /// Whether a request may be sent now. The first one after a pause is the probe.
   bool allows(time_point now) {
--- a/src/kv/client.cc
+++ b/src/kv/client.cc
@@ -36,7 +36,7 @@
 }
 
 awaitable<result<std::string>> client::post(std::string target, std::string body) {
-  // What the breaker holds back was not sent, so nothing changed.
+  // What the circuit_breaker holds back was not sent, so nothing changed.
   if (!breaker_.allows(boot_clock::now())) co_return std::error_code(errc::unavailable);
   ++operations_;
   auto message = http::make_post(target, std::move(body), http::k_json);
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -48,7 +48,7 @@
   std::size_t current_ = 0;
   time_point last_answer_ = time_point::min();
   std::uint64_t operations_ = 0;
-  breaker breaker_;
+  circuit_breaker breaker_;
 };
 
 }  // namespace frostline::kv
--- a/tests/unit/kv/kv_breaker_test.cc
+++ b/tests/unit/kv/kv_breaker_test.cc
@@ -5,16 +5,16 @@
 using namespace frostline;
 
 TEST_GROUP(kv_breaker_test) {
-  kv::breaker breaker{1};
+  kv::circuit_breaker circuit_breaker{1};
   time_point now = time_point() + seconds(100);
 
   /// Requests let through in `duration` if ten a second are tried and none is answered.
   int requests_in(milliseconds duration) {
     int let_through = 0;
     for (time_point const end = now + duration; now < end; now += milliseconds(100)) {
-      if (!breaker.allows(now)) continue;
+      if (!circuit_breaker.allows(now)) continue;
       ++let_through;
-      breaker.note_failure(now);
+      circuit_breaker.note_failure(now);
     }
     return let_through;
   }
@@ -22,8 +22,8 @@
 
 TEST(kv_breaker_test, everything_passes_while_the_service_answers) {
   for (int count = 0; count < 100; ++count) {
-    CHECK(breaker.allows(now));
-    breaker.note_answer();
+    CHECK(circuit_breaker.allows(now));
+    circuit_breaker.note_answer();
   }
 }
 
@@ -36,26 +36,26 @@
 
 TEST(kv_breaker_test, first_answer_opens_it) {
   requests_in(seconds(30));
-  breaker.note_answer();
-  CHECK(breaker.allows(now));
+  circuit_breaker.note_answer();
+  CHECK(circuit_breaker.allows(now));
 }
 
 TEST(kv_breaker_test, probe_without_outcome_does_not_let_others_through) {
-  breaker.note_failure(now);
+  circuit_breaker.note_failure(now);
   now += milliseconds(100);
-  CHECK(breaker.allows(now));
-  CHECK_FALSE(breaker.allows(now));
+  CHECK(circuit_breaker.allows(now));
+  CHECK_FALSE(circuit_breaker.allows(now));
 }
 
 TEST(kv_breaker_test, two_nodes_do_not_come_back_together) {
-  kv::breaker other{2};
+  kv::circuit_breaker other{2};
   int together = 0;
   int probes = 0;
   for (int step = 0; step < 3000; ++step) {
     now += milliseconds(10);
-    bool const first = breaker.allows(now);
+    bool const first = circuit_breaker.allows(now);
     bool const second = other.allows(now);
-    if (first) breaker.note_failure(now);
+    if (first) circuit_breaker.note_failure(now);
     if (second) other.note_failure(now);
     probes += first ? 1 : 0;
     together += first && second ? 1 : 0;
