--- a/src/calls/access.cc
+++ b/src/calls/access.cc
@@ -5,7 +5,7 @@
 access check_access(route_table const& table, http::request const& message, bool is_public) {
   access found;
   found.verdict =
-      table.tenants().check(http::as_view(message[http::field::authorization]), found.who);
+      table.tenants().check(http::to_string_view(message[http::field::authorization]), found.who);
   // Which of several a server behind another proxy would have taken can't be told.
   bool const ambiguous = message.count(http::field::authorization) > 1;
   if (ambiguous && found.verdict == credentials::valid) {
--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -26,7 +26,7 @@
 
 /// The seconds of "timeout=N" in a Keep-Alive header.
 std::optional<milliseconds> keep_alive_time(http::response const& head) {
-  std::string_view const value = http::as_view(head[http::field::keep_alive]);
+  std::string_view const value = http::to_string_view(head[http::field::keep_alive]);
   constexpr std::string_view k_parameter = "timeout=";
   auto const place = value.find(k_parameter);
   if (place == std::string_view::npos) return std::nullopt;
--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -113,10 +113,11 @@
   if (one.identity) return *one.identity;
   quarantine::request_parts parts;
   parts.caller = one.tenant;
-  if (one.tenant.empty()) parts.caller = http::as_view(one.message[http::field::authorization]);
-  parts.host = http::as_view(one.message[http::field::host]);
-  parts.method = http::as_view(one.message.method_string());
-  parts.target = http::as_view(one.message.target());
+  if (one.tenant.empty())
+    parts.caller = http::to_string_view(one.message[http::field::authorization]);
+  parts.host = http::to_string_view(one.message[http::field::host]);
+  parts.method = http::to_string_view(one.message.method_string());
+  parts.target = http::to_string_view(one.message.target());
   parts.body = one.message.body();
   one.identity = quarantine::fingerprint::of(parts);
   return *one.identity;
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -348,7 +348,7 @@
 }
 
 awaitable<http::response> application::components::handle_peer(http::request message) {
-  std::string_view const target = http::as_view(message.target());
+  std::string_view const target = http::to_string_view(message.target());
   if (target.starts_with(rpc::k_rpc_prefix)) {
     co_return co_await peer_methods_.handle(std::move(message));
   }
--- a/src/gateway/client_calls.cc
+++ b/src/gateway/client_calls.cc
@@ -45,7 +45,7 @@
     co_return;
   }
   calls::route const* by =
-      table ? table->match(http::header(message, "Host"), http::as_view(message.target()))
+      table ? table->match(http::header(message, "Host"), http::to_string_view(message.target()))
             : nullptr;
   calls::access access;
   if (by != nullptr) access = calls::check_access(*table, message, by->is_public);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -21,12 +21,14 @@
 inline constexpr std::string_view k_problem_json = "application/problem+json";
 inline constexpr std::string_view k_flatbuffer = "application/x-flatbuffers";
 
-inline std::string_view as_view(beast::string_view text) { return {text.data(), text.size()}; }
+inline std::string_view to_string_view(beast::string_view text) {
+  return {text.data(), text.size()};
+}
 
 /// Value of a header; empty if absent.
 template <class Message>
 std::string_view header(Message const& message, std::string_view name) {
-  return as_view(message[beast::string_view(name.data(), name.size())]);
+  return to_string_view(message[beast::string_view(name.data(), name.size())]);
 }
 
 /// A response with a body and its type; length and version are set when it is sent.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -202,7 +202,7 @@
 }
 
 awaitable<http::response> node::components::handle(http::request message) {
-  std::string_view const target = http::as_view(message.target());
+  std::string_view const target = http::to_string_view(message.target());
   if (target.starts_with(rpc::k_rpc_prefix)) co_return co_await methods_.handle(std::move(message));
   if (target == "/healthz") co_return health();
   if (target == "/readyz") co_return readiness();
--- a/src/rpc/dispatcher.cc
+++ b/src/rpc/dispatcher.cc
@@ -9,7 +9,7 @@
 }
 
 awaitable<http::response> dispatcher::handle(http::request message) {
-  auto const found = methods_.find(http::as_view(message.target()));
+  auto const found = methods_.find(http::to_string_view(message.target()));
   if (found == methods_.end()) {
     co_return to_response({http::status::not_found, reason::unknown_method,
                            "no such method: " + std::string(message.target())});
--- a/src/standin/app_server.cc
+++ b/src/standin/app_server.cc
@@ -59,8 +59,8 @@
 
   void record(http::request const& message) {
     journal_.write("request", {{"app", settings_.id},
-                               {"method", http::as_view(message.method_string())},
-                               {"target", http::as_view(message.target())},
+                               {"method", http::to_string_view(message.method_string())},
+                               {"target", http::to_string_view(message.target())},
                                {"key", http::header(message, "Idempotency-Key")},
                                {"leaving", faults_.leaving}});
   }
@@ -68,7 +68,7 @@
   /// Echoes what identifies the request, so that a crossed answer shows.
   http::response answer(http::request const& message) const {
     json::object body{{"server", settings_.id},
-                      {"target", http::as_view(message.target())},
+                      {"target", http::to_string_view(message.target())},
                       {"key", http::header(message, "Idempotency-Key")},
                       {"body_hash", hash_bytes(message.body())}};
     auto answer = json_response(http::status::ok, body);
@@ -94,7 +94,7 @@
 
   /// Serves the fault of a truncated answer: a part of the body, then a reset.
   awaitable<bool> truncate(http::request const& message, http::stream_writer& writer) {
-    if (faults_.truncate_answers == 0 || is_control(http::as_view(message.target()))) {
+    if (faults_.truncate_answers == 0 || is_control(http::to_string_view(message.target()))) {
       co_return false;
     }
     --faults_.truncate_answers;
