--- a/src/kv/record_store.h
+++ b/src/kv/record_store.h
@@ -28,7 +28,7 @@
   /// be newer than `store_revision`, which is that of the first page.
   virtual awaitable<result<range_answer>> list(std::string prefix) = 0;
   /// Whether there are more records than one answer of the store holds. The answer may be old.
-  virtual awaitable<result<bool>> has_many(std::string prefix) = 0;
+  virtual awaitable<result<bool>> exceeds_one_page(std::string prefix) = 0;
   /// @param timeout after which the outcome counts as unknown.
   virtual awaitable<result<transaction_answer>> apply(transaction change, milliseconds timeout) = 0;
   /// Waits up to `wait` for changes of `prefix` after `after`. An answer without events moves
--- a/src/relay/record_feed_servers.cc
+++ b/src/relay/record_feed_servers.cc
@@ -103,7 +103,7 @@
 awaitable<void> record_feed::look_how_many() {
   servers_are_many_ = false;
   if (views_.view(topic::SERVERS).is_loaded()) co_return;
-  auto const many = co_await store_.has_many(options_.prefixes[index_of(topic::SERVERS)]);
+  auto const many = co_await store_.exceeds_one_page(options_.prefixes[index_of(topic::SERVERS)]);
   if (many) {
     servers_are_many_ = many.value();
     co_return;
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -28,9 +28,9 @@
     if (cut_) co_return std::error_code(kv::errc::unavailable);
     co_return answer;
   }
-  awaitable<result<bool>> has_many(std::string prefix) override {
+  awaitable<result<bool>> exceeds_one_page(std::string prefix) override {
     if (cut_) co_return std::error_code(kv::errc::unavailable);
-    co_return co_await store_.has_many(std::move(prefix));
+    co_return co_await store_.exceeds_one_page(std::move(prefix));
   }
   awaitable<result<kv::transaction_answer>> apply(kv::transaction change,
                                                   milliseconds timeout) override {
--- a/tests/support/memory_record_store.cc
+++ b/tests/support/memory_record_store.cc
@@ -105,7 +105,7 @@
   co_return answer;
 }
 
-awaitable<result<bool>> memory_record_store::has_many(std::string prefix) {
+awaitable<result<bool>> memory_record_store::exceeds_one_page(std::string prefix) {
   if (down_) co_return std::error_code(kv::errc::unavailable);
   co_return list_now(prefix).size() > page_;
 }
--- a/tests/support/memory_record_store.h
+++ b/tests/support/memory_record_store.h
@@ -16,7 +16,7 @@
   explicit memory_record_store(asio::io_context& context) : changed_(context) {}
 
   awaitable<result<kv::range_answer>> list(std::string prefix) override;
-  awaitable<result<bool>> has_many(std::string prefix) override;
+  awaitable<result<bool>> exceeds_one_page(std::string prefix) override;
   awaitable<result<kv::transaction_answer>> apply(kv::transaction change,
                                                   milliseconds timeout) override;
   awaitable<result<kv::watch_batch>> watch(std::string prefix, kv::revision after,
