--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -160,7 +160,7 @@
   if (connection_->bounds_acknowledgement == bounded) return;
   connection_->bounds_acknowledgement = bounded;
   milliseconds const patience = bounded ? k_acknowledgement_patience : milliseconds(0);
-  http::end_if_unacknowledged(connection_->stream.socket(), patience);
+  http::set_acknowledgement_timeout(connection_->stream.socket(), patience);
 }
 
 awaitable<exchange_failure> exchange::open(connection_choice choice, time_point deadline) {
--- a/src/http/connection_health.cc
+++ b/src/http/connection_health.cc
@@ -30,7 +30,7 @@
   socket.set_option(most_probes(k_probes), ignored);
 }
 
-void end_if_unacknowledged(tcp::socket& socket, milliseconds patience) {
+void set_acknowledgement_timeout(tcp::socket& socket, milliseconds patience) {
   boost::system::error_code ignored;
   socket.set_option(acknowledgement_timeout(static_cast<int>(patience.count())), ignored);
 }
--- a/src/http/connection_health.h
+++ b/src/http/connection_health.h
@@ -13,7 +13,7 @@
 
 /// Ends the connection with `timed_out` if what is written from now on stays unacknowledged for
 /// about this long. Only for what may be sent again: a link that is slower than this breaks it.
-void end_if_unacknowledged(tcp::socket& socket, milliseconds patience);
+void set_acknowledgement_timeout(tcp::socket& socket, milliseconds patience);
 
 /// Whether a connection that rests may carry a request. One that has become readable was closed by
 /// the peer, or holds bytes that answer nothing.
