--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -89,7 +89,7 @@
   auto one = std::make_unique<connection>(std::move(stream));
   one->opened_at = boot_clock::now();
   note_opened();
-  http::probe_when_idle(one->stream.socket());
+  http::enable_keepalive_probes(one->stream.socket());
   give_back(server, std::move(one));
 }
 
@@ -185,7 +185,7 @@
   }
   connection_->opened_at = opened_at_;
   connection_->stream.socket().set_option(tcp::no_delay(true), ignored);
-  http::probe_when_idle(connection_->stream.socket());
+  http::enable_keepalive_probes(connection_->stream.socket());
   co_return exchange_failure::none;
 }
 
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -54,7 +54,7 @@
   if (failure) co_return std::error_code(errc::connect_failed);
   beast::error_code ignored;
   stream->socket().set_option(tcp::no_delay(true), ignored);
-  probe_when_idle(stream->socket());
+  enable_keepalive_probes(stream->socket());
   co_return std::move(stream);
 }
 
--- a/src/http/connection_health.cc
+++ b/src/http/connection_health.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void probe_when_idle(tcp::socket& socket) {
+void enable_keepalive_probes(tcp::socket& socket) {
   // Without the options a connection still works; its end is found out later.
   boost::system::error_code ignored;
   socket.set_option(asio::socket_base::keep_alive(true), ignored);
--- a/src/http/connection_health.h
+++ b/src/http/connection_health.h
@@ -9,7 +9,7 @@
 /// Has the kernel probe a connection that rests: one that is dead ends with `timed_out` after 3 s,
 /// and is not taken from a pool any more. Costs two packets a second on a connection that rests for
 /// longer than a second, and no call.
-void probe_when_idle(tcp::socket& socket);
+void enable_keepalive_probes(tcp::socket& socket);
 
 /// Ends the connection with `timed_out` if what is written from now on stays unacknowledged for
 /// about this long. Only for what may be sent again: a link that is slower than this breaks it.
