--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -70,7 +70,7 @@
     milliseconds const limit =
         choice == connection_choice::just_used ? std::min(k_just_used, one->keep) : one->keep;
     if (now - one->idle_since > limit) continue;
-    if (!http::is_quiet(one->stream.socket())) continue;
+    if (!http::is_reusable(one->stream.socket())) continue;
     one->reused = true;
     return one;
   }
@@ -97,7 +97,7 @@
   auto const found = kept_.find(server);
   if (found == kept_.end()) return false;
   return std::any_of(found->second.begin(), found->second.end(), [&](auto const& one) {
-    return one->opened_at <= made_before && http::is_quiet(one->stream.socket());
+    return one->opened_at <= made_before && http::is_reusable(one->stream.socket());
   });
 }
 
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -25,7 +25,7 @@
   while (!found->second.empty()) {
     connection kept = std::move(found->second.back());
     found->second.pop_back();
-    if (is_quiet(kept->socket())) return kept;
+    if (is_reusable(kept->socket())) return kept;
   }
   return nullptr;
 }
--- a/src/http/connection_health.cc
+++ b/src/http/connection_health.cc
@@ -35,7 +35,7 @@
   socket.set_option(acknowledgement_timeout(static_cast<int>(patience.count())), ignored);
 }
 
-bool is_quiet(tcp::socket& socket) {
+bool is_reusable(tcp::socket& socket) {
   boost::system::error_code failure;
   char probe = 0;
   socket.non_blocking(true, failure);
--- a/src/http/connection_health.h
+++ b/src/http/connection_health.h
@@ -17,6 +17,6 @@
 
 /// Whether a connection that rests may carry a request. One that has become readable was closed by
 /// the peer, or holds bytes that answer nothing.
-bool is_quiet(tcp::socket& socket);
+bool is_reusable(tcp::socket& socket);
 
 }  // namespace frostline::http
