--- a/src/http/json_fields.h
+++ b/src/http/json_fields.h
@@ -40,8 +40,8 @@
 }
 
 /// A number that is there, whole and not negative; nothing otherwise.
-inline std::optional<std::uint64_t> json_whole(boost::json::object const& object,
-                                               std::string_view key) {
+inline std::optional<std::uint64_t> json_unsigned(boost::json::object const& object,
+                                                  std::string_view key) {
   auto const* found = object.if_contains(key);
   if (found == nullptr || !found->is_number()) return std::nullopt;
   boost::system::error_code failure;
