--- a/src/base/asio.h
+++ b/src/base/asio.h
@@ -1,4 +1,4 @@
-/// @file The parts of Asio that frostline uses, under short names, and two small awaitables.
+/// @file Aliases for Asio types, and timers, a condition and coroutine helpers built on boot_clock.
 #pragma once
 
 #include <algorithm>
@@ -25,21 +25,21 @@
 /// Completion token that yields errors as values.
 inline constexpr auto k_as_tuple = asio::as_tuple(asio::use_awaitable);
 
-/// How long the reactor sleeps for a timer. Its own timer counts no suspension, so it looks at the
-/// clock anew now and then: a wait that ended while the machine was suspended ends at most this
-/// long after.
-struct boot_wait_traits {
-  static constexpr boot_clock::duration k_longest_sleep = seconds(1);
+/// Limits how long the reactor sleeps for a timer. The reactor's own clock stops while the machine
+/// is suspended, so timers check boot_clock at least every k_max_sleep: a wait whose deadline
+/// passed during a suspension ends at most that long after the resume.
+struct boot_clock_wait_traits {
+  static constexpr boot_clock::duration k_max_sleep = seconds(1);
 
   static boot_clock::duration to_wait_duration(boot_clock::duration left) {
-    return std::min(left, k_longest_sleep);
+    return std::min(left, k_max_sleep);
   }
   static boot_clock::duration to_wait_duration(boot_clock::time_point when) {
     return to_wait_duration(when - boot_clock::now());
   }
 };
 
-using boot_timer = asio::basic_waitable_timer<boot_clock, boot_wait_traits>;
+using boot_timer = asio::basic_waitable_timer<boot_clock, boot_clock_wait_traits>;
 
 /// Suspends the coroutine for `duration`.
 inline awaitable<void> wait_for(milliseconds duration) {
@@ -47,7 +47,7 @@
   co_await timer.async_wait(k_as_tuple);
 }
 
-/// Condition that coroutines of one io_context wait on; `notify_all` wakes every waiter.
+/// Condition variable for the coroutines of one io_context. Not thread-safe.
 class async_condition {
  public:
   explicit async_condition(asio::io_context& context) : context_(context) {}
@@ -59,9 +59,9 @@
   /// Returns after the next notify_all, or at `deadline`.
   awaitable<void> wait_until(time_point deadline) {
     boot_timer timer(context_, deadline);
-    auto const place = waiters_.insert(waiters_.end(), &timer);
+    auto const position = waiters_.insert(waiters_.end(), &timer);
     co_await timer.async_wait(k_as_tuple);
-    waiters_.erase(place);
+    waiters_.erase(position);
   }
 
   awaitable<void> wait() { return wait_until(time_point::max()); }
@@ -71,7 +71,7 @@
   std::list<boot_timer*> waiters_;
 };
 
-/// Starts a coroutine whose exceptions end the process: none is expected.
+/// Starts a detached coroutine. An exception that leaves it propagates out of io_context::run.
 template <class Coroutine>
 void spawn(asio::io_context& context, Coroutine coroutine) {
   asio::co_spawn(context, std::move(coroutine), [](std::exception_ptr failure) {
--- a/src/base/endpoint.h
+++ b/src/base/endpoint.h
@@ -1,4 +1,4 @@
-/// @file An IP address and port in text form.
+/// @file IP address and port.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -11,7 +11,7 @@
 
 namespace frostline {
 
-/// Where a process listens: a numeric IP address and a port.
+/// Numeric IP address and port that a process listens on.
 struct endpoint {
   std::string address;
   std::uint16_t port = 0;
@@ -21,7 +21,7 @@
 };
 
 /// Parses "IP:port" with a numeric IPv4 address.
-/// @return nothing if either half is malformed.
+/// @return std::nullopt if the address or the port is malformed.
 inline std::optional<endpoint> parse_endpoint(std::string_view text) {
   auto const colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
--- a/src/base/error_category.h
+++ b/src/base/error_category.h
@@ -1,4 +1,4 @@
-/// @file Helper with which each layer declares its own error category.
+/// @file Support for one std::error_category per layer.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -7,13 +7,13 @@
 
 namespace frostline {
 
-/// Value or a layer's own error code.
+/// A value, or the error code of a layer.
 template <class Value>
 using result =
     boost::outcome_v2::basic_result<Value, std::error_code, boost::outcome_v2::policy::terminate>;
 
-/// Category of one layer's error enum. The layer supplies `layer_name(Errc)` and
-/// `describe(Errc)`, found by argument-dependent lookup.
+/// Error category of a layer's enum. The layer provides `layer_name(Errc)` and `describe(Errc)`,
+/// which are found by argument-dependent lookup.
 template <class Errc>
 class layer_error_category final : public std::error_category {
  public:
@@ -21,7 +21,7 @@
   std::string message(int code) const override { return describe(static_cast<Errc>(code)); }
 };
 
-/// Turns a layer's enum value into an error code of that layer's category.
+/// Converts a layer's enum value to an error code of the layer's category.
 template <class Errc>
 std::error_code make_layer_error(Errc code) {
   static const layer_error_category<Errc> category;
--- a/src/base/jitter.h
+++ b/src/base/jitter.h
@@ -1,4 +1,4 @@
-/// @file Spreads what many nodes would otherwise do at the same moment.
+/// @file Jitter that keeps many nodes from acting at the same moment.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 
 namespace frostline {
 
-/// A random time in [half, whole]. Pure: the generator is passed in.
+/// Returns a random duration in [upper_bound / 2, upper_bound].
 template <class Generator>
-milliseconds with_jitter(milliseconds whole, Generator& random) {
-  std::uniform_int_distribution<std::int64_t> pick(whole.count() / 2, whole.count());
-  return milliseconds(pick(random));
+milliseconds with_jitter(milliseconds upper_bound, Generator& random) {
+  std::uniform_int_distribution<std::int64_t> distribution(upper_bound.count() / 2,
+                                                           upper_bound.count());
+  return milliseconds(distribution(random));
 }
 
-/// The same for services, from a generator of the process.
-inline milliseconds with_jitter(milliseconds whole) {
+/// As above, with a process-wide generator. Not thread-safe.
+inline milliseconds with_jitter(milliseconds upper_bound) {
   static std::mt19937_64 random(std::random_device{}());
-  return with_jitter(whole, random);
+  return with_jitter(upper_bound, random);
 }
 
 }  // namespace frostline
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -22,48 +22,48 @@
 namespace sinks = boost::log::sinks;
 
 constexpr std::string_view k_level_names[] = {"debug", "info", "warning", "error"};
-/// Lines a second, and the most that may come at once.
+/// Rate limit of log lines (token bucket).
 constexpr double k_lines_per_second = 600;
-constexpr double k_most_saved_lines = 1500;
+constexpr double k_burst_lines = 1500;
 constexpr milliseconds k_flush_interval{100};
 constexpr std::size_t k_flush_bytes = 8 * 1024;
-constexpr std::size_t k_most_gathered = 256 * 1024;
-/// A pipe that polls as writable takes that much without waiting.
+constexpr std::size_t k_max_buffered_bytes = 256 * 1024;
+/// A pipe that polls as writable accepts this many bytes (PIPE_BUF) without blocking.
 constexpr std::size_t k_write_bytes = 4096;
 
-/// Gathers lines and writes them to standard output without ever waiting for it.
+/// Buffers lines and writes them to standard output without blocking; drops lines over the limits.
 class output {
  public:
   void add(std::string const& line) {
     time_point const now = boot_clock::now();
     refill(now);
-    if (allowance_ < 1 || gathered_.size() + line.size() > k_most_gathered) {
+    if (tokens_ < 1 || buffered_.size() + line.size() > k_max_buffered_bytes) {
       ++dropped_;
       return;
     }
-    allowance_ -= 1;
-    gathered_.append(line).append("\n");
-    if (gathered_.size() >= k_flush_bytes || now - flushed_at_ >= k_flush_interval) flush();
+    tokens_ -= 1;
+    buffered_.append(line).append("\n");
+    if (buffered_.size() >= k_flush_bytes || now - flushed_at_ >= k_flush_interval) flush();
   }
 
   void flush() {
     flushed_at_ = boot_clock::now();
     std::size_t written = 0;
-    while (written < gathered_.size() && is_writable()) {
-      std::size_t const part = std::min(gathered_.size() - written, k_write_bytes);
-      ssize_t const count = ::write(STDOUT_FILENO, gathered_.data() + written, part);
+    while (written < buffered_.size() && is_writable()) {
+      std::size_t const part = std::min(buffered_.size() - written, k_write_bytes);
+      ssize_t const count = ::write(STDOUT_FILENO, buffered_.data() + written, part);
       if (count <= 0) break;
       written += static_cast<std::size_t>(count);
     }
-    gathered_.erase(0, written);
+    buffered_.erase(0, written);
   }
 
   std::uint64_t dropped() const { return dropped_; }
 
  private:
   void refill(time_point now) {
-    double const passed = std::chrono::duration<double>(now - refilled_at_).count();
-    allowance_ = std::min(k_most_saved_lines, allowance_ + passed * k_lines_per_second);
+    double const elapsed = std::chrono::duration<double>(now - refilled_at_).count();
+    tokens_ = std::min(k_burst_lines, tokens_ + elapsed * k_lines_per_second);
     refilled_at_ = now;
   }
 
@@ -72,8 +72,8 @@
     return ::poll(&descriptor, 1, 0) == 1 && (descriptor.revents & POLLOUT) != 0;
   }
 
-  std::string gathered_;
-  double allowance_ = k_most_saved_lines;
+  std::string buffered_;
+  double tokens_ = k_burst_lines;
   time_point refilled_at_ = boot_clock::now();
   time_point flushed_at_{};
   std::uint64_t dropped_ = 0;
@@ -129,7 +129,7 @@
   return true;
 }
 
-void log_line(log_level level, std::string_view part, std::string_view sentence,
+void log_line(log_level level, std::string_view component, std::string_view message,
               log_fields fields) {
   boost::log::record record = logger().open_record(boost::log::keywords::severity = level);
   if (!record) return;
@@ -137,7 +137,7 @@
   line["time_ms"] = wall_clock_ms();
   line["level"] = k_level_names[static_cast<int>(level)];
   line["process"] = process_name();
-  line["message"] = std::string(part) + ": " + std::string(sentence);
+  line["message"] = std::string(component) + ": " + std::string(message);
   for (log_field const& field : fields) line[field.key] = field.value;
   boost::log::record_ostream stream(record);
   stream << boost::json::serialize(line);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,8 +1,8 @@
-/// @file Structured logs: one JSON object a line on standard output, each with the fixed prefix of
-/// the part that speaks, a short sentence, and fields.
+/// @file Structured logs: one JSON object per line on standard output, with a message that starts
+/// with the name of the component, and fields.
 ///
-/// Lines are gathered and written together. Logging never waits: when the reader of standard output
-/// is slow, or lines come faster than a fixed rate, lines are dropped and counted.
+/// Lines are buffered and written in batches. Logging never blocks: lines are dropped and counted
+/// if the reader of standard output is too slow or the rate limit is exceeded.
 #pragma once
 
 #include <concepts>
@@ -15,7 +15,7 @@
 
 enum class log_level { debug, info, warning, error };
 
-/// One key and its value, already rendered.
+/// Key and rendered value of one field.
 struct log_field {
   std::string_view key;
   std::string value;
@@ -27,18 +27,18 @@
 
 using log_fields = std::initializer_list<log_field>;
 
-/// Starts logging for a process, or changes its level. `process` names it in each line.
+/// Starts logging, or changes the level. `process` is the process name in each line.
 /// @return false if `level` is not one of debug, info, warning, error.
 bool start_logging(std::string_view process, std::string_view level);
 
-/// Writes one line. `part` is the fixed prefix, such as "kv".
-void log_line(log_level level, std::string_view part, std::string_view sentence,
+/// Logs one line. `component` is the prefix of the message, such as "kv".
+void log_line(log_level level, std::string_view component, std::string_view message,
               log_fields fields = {});
 
-/// Writes what has been gathered. Called now and then, and before a process ends.
+/// Writes the buffered lines. Has to be called periodically and before the process exits.
 void flush_logs();
 
-/// Lines dropped since the start.
+/// Number of lines dropped since the process started.
 std::uint64_t dropped_log_lines();
 
 }  // namespace frostline
--- a/tests/unit/base/suspension_test.cc
+++ b/tests/unit/base/suspension_test.cc
@@ -1,4 +1,5 @@
-/// @file A machine that was suspended: time passed that the monotonic clock does not count.
+/// @file Tests that clocks, leases and timers account for time during which the machine was
+/// suspended.
 
 #include "suspension.h"
 
@@ -15,11 +16,11 @@
 
 namespace {
 
-/// What a test waits for at most, by the clock that does not count a suspension.
-constexpr std::chrono::seconds k_patience{3};
+/// Longest time that a test waits, by a clock that does not count suspensions.
+constexpr std::chrono::seconds k_wait_timeout{3};
 
 bool run_until(asio::io_context& context, std::function<bool()> condition) {
-  auto const limit = std::chrono::steady_clock::now() + k_patience;
+  auto const limit = std::chrono::steady_clock::now() + k_wait_timeout;
   while (!condition() && std::chrono::steady_clock::now() < limit) {
     context.run_one_for(std::chrono::milliseconds(50));
   }
@@ -30,13 +31,13 @@
 
 TEST_GROUP(suspension_test){};
 
-TEST(suspension_test, time_that_was_slept_has_passed) {
+TEST(suspension_test, boot_clock_counts_suspended_time) {
   time_point const before = boot_clock::now();
   suspend(milliseconds(5000));
   CHECK(boot_clock::now() - before >= milliseconds(5000));
 }
 
-TEST(suspension_test, lease_that_ran_out_meanwhile_is_not_held) {
+TEST(suspension_test, lease_that_expired_during_suspension_is_not_held) {
   asio::io_context context{1};
   memory_record_store store{context};
   ownership::owner_lease_options options;
@@ -54,7 +55,7 @@
   CHECK(!lease.may_order(boot_clock::now()));
 }
 
-TEST(suspension_test, wait_that_ended_meanwhile_ends_soon_after) {
+TEST(suspension_test, wait_that_expired_during_suspension_ends_after_resume) {
   asio::io_context context{1};
   bool ended = false;
   auto const wait = [&]() -> awaitable<void> {
@@ -67,7 +68,7 @@
   CHECK(run_until(context, [&] { return ended; }));
 }
 
-TEST(suspension_test, condition_whose_deadline_passed_meanwhile_ends_soon_after) {
+TEST(suspension_test, condition_deadline_that_passed_during_suspension_ends_the_wait) {
   asio::io_context context{1};
   async_condition condition{context};
   bool ended = false;
--- a/tests/unit/main.cc
+++ b/tests/unit/main.cc
@@ -2,7 +2,7 @@
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 int main(int argc, char** argv) {
-  // Libraries keep caches for the life of the process; AddressSanitizer looks for leaks instead.
+  // Caches of libraries would be reported as leaks; AddressSanitizer checks for leaks instead.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
