--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t k_pooled_per_endpoint = 32;
-/// A peer that takes longer to accept a connection is down or cut off.
+/// A peer that takes longer to accept a connection is considered unreachable.
 constexpr milliseconds k_connect_timeout{800};
 
 std::error_code classify(beast::error_code const& failure) {
@@ -19,37 +19,39 @@
 
 }  // namespace
 
-client::connection client::take_pooled(endpoint const& where) {
-  auto const found = pool_.find(where);
+client::connection client::take_pooled(endpoint const& peer_endpoint) {
+  auto const found = pool_.find(peer_endpoint);
   if (found == pool_.end()) return nullptr;
   while (!found->second.empty()) {
-    connection kept = std::move(found->second.back());
+    connection idle = std::move(found->second.back());
     found->second.pop_back();
-    if (is_reusable(kept->socket())) return kept;
+    if (is_reusable(idle->socket())) return idle;
   }
   return nullptr;
 }
 
-void client::give_back(endpoint const& where, connection stream) {
-  auto& kept = pool_[where];
-  if (kept.size() >= k_pooled_per_endpoint) return;
+void client::return_to_pool(endpoint const& peer_endpoint, connection stream) {
+  auto& idle = pool_[peer_endpoint];
+  if (idle.size() >= k_pooled_per_endpoint) return;
   stream->expires_never();
-  kept.push_back(std::move(stream));
+  idle.push_back(std::move(stream));
 }
 
-std::error_code client::note_failure(endpoint const& where, beast::error_code const& failure) {
+std::error_code client::note_failure(endpoint const& peer_endpoint,
+                                     beast::error_code const& failure) {
   std::error_code const error = classify(failure);
-  if (error == errc::deadline_exceeded) pool_.erase(where);
+  if (error == errc::deadline_exceeded) pool_.erase(peer_endpoint);
   return error;
 }
 
-awaitable<result<client::connection>> client::connect(endpoint const& where, milliseconds timeout) {
+awaitable<result<client::connection>> client::connect(endpoint const& peer_endpoint,
+                                                      milliseconds timeout) {
   auto stream = std::make_unique<beast::tcp_stream>(context_);
   stream->expires_after(std::min(timeout, k_connect_timeout));
   beast::error_code bad_address;
-  auto const address = asio::ip::make_address(where.address, bad_address);
+  auto const address = asio::ip::make_address(peer_endpoint.address, bad_address);
   if (bad_address) co_return std::error_code(errc::connect_failed);
-  tcp::endpoint const remote(address, where.port);
+  tcp::endpoint const remote(address, peer_endpoint.port);
   auto [failure] = co_await stream->async_connect(remote, k_as_tuple);
   if (failure) co_return std::error_code(errc::connect_failed);
   beast::error_code ignored;
@@ -58,42 +60,42 @@
   co_return std::move(stream);
 }
 
-awaitable<result<response>> client::exchange(endpoint where, request message, milliseconds timeout,
-                                             connection_use use) {
+awaitable<result<response>> client::exchange(endpoint peer_endpoint, request message,
+                                             milliseconds timeout, connection_use use) {
   time_point const deadline = boot_clock::now() + timeout;
   connection stream;
-  if (use == connection_use::pooled) stream = take_pooled(where);
+  if (use == connection_use::pooled) stream = take_pooled(peer_endpoint);
   if (!stream) {
-    auto connected = co_await connect(where, timeout);
+    auto connected = co_await connect(peer_endpoint, timeout);
     if (!connected) co_return connected.error();
     stream = std::move(connected.value());
   }
   stream->expires_after(time_left(deadline));
-  message.set(field::host, where.to_string());
+  message.set(field::host, peer_endpoint.to_string());
   message.keep_alive(use == connection_use::pooled);
   message.prepare_payload();
   auto [write_failure, written] = co_await bhttp::async_write(*stream, message, k_as_tuple);
   traffic_.sent += written;
-  if (write_failure) co_return note_failure(where, write_failure);
+  if (write_failure) co_return note_failure(peer_endpoint, write_failure);
   bhttp::response_parser<bhttp::string_body> parser;
   parser.body_limit(answer_limit_);
   if (message.method() == verb::head) parser.skip(true);
   beast::flat_buffer buffer;
   auto [read_failure, read] = co_await bhttp::async_read(*stream, buffer, parser, k_as_tuple);
   traffic_.received += read;
-  if (read_failure) co_return note_failure(where, read_failure);
-  bool const clean = parser.get().keep_alive() && buffer.size() == 0;
-  if (clean && use == connection_use::pooled) give_back(where, std::move(stream));
+  if (read_failure) co_return note_failure(peer_endpoint, read_failure);
+  bool const reusable = parser.get().keep_alive() && buffer.size() == 0;
+  if (reusable && use == connection_use::pooled) return_to_pool(peer_endpoint, std::move(stream));
   co_return parser.release();
 }
 
-awaitable<result<response>> client::stream(endpoint where, request message,
+awaitable<result<response>> client::stream(endpoint peer_endpoint, request message,
                                            milliseconds idle_timeout, body_sink sink) {
-  auto connected = co_await connect(where, idle_timeout);
+  auto connected = co_await connect(peer_endpoint, idle_timeout);
   if (!connected) co_return connected.error();
   connection stream = std::move(connected.value());
   stream->expires_after(idle_timeout);
-  message.set(field::host, where.to_string());
+  message.set(field::host, peer_endpoint.to_string());
   message.prepare_payload();
   auto [write_failure, written] = co_await bhttp::async_write(*stream, message, k_as_tuple);
   traffic_.sent += written;
@@ -105,14 +107,14 @@
       co_await bhttp::async_read_header(*stream, buffer, parser, k_as_tuple);
   traffic_.received += head;
   if (head_failure) co_return classify(head_failure);
-  bool const hand_over = parser.get().result() == status::ok;
+  bool const forward_body = parser.get().result() == status::ok;
   while (!parser.is_done()) {
     stream->expires_after(idle_timeout);
     auto [failure, count] = co_await bhttp::async_read_some(*stream, buffer, parser, k_as_tuple);
     traffic_.received += count;
     if (failure) co_return classify(failure);
     std::string& body = parser.get().body();
-    if (!hand_over || body.empty()) continue;
+    if (!forward_body || body.empty()) continue;
     if (!sink(body)) co_return std::error_code(errc::exchange_failed);
     body.clear();
   }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,4 +1,4 @@
-/// @file HTTP/1.1 client with a pool of connections per endpoint.
+/// @file HTTP/1.1 client with a connection pool per endpoint.
 #pragma once
 
 #include <deque>
@@ -13,53 +13,55 @@
 
 namespace frostline::http {
 
-/// Bytes that passed through a client or server since its start.
+/// Bytes sent and received since the start.
 struct byte_count {
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
 };
 
-/// How a request may use connections.
+/// Selects the connection for a request.
 enum class connection_use {
-  /// A kept connection may serve; it may turn out closed after the request was written.
+  /// A pooled connection may be used; the peer may close it before it reads the request.
   pooled,
-  /// A new connection serves this request only, so that a failed connect proves "not run".
+  /// A new connection is used for this request only, so a failed connect proves that the request
+  /// was not run.
   fresh,
 };
 
-/// Receives the pieces of a streamed body. @return false to give the stream up.
+/// Receives the chunks of a streamed body. @return false to abort the stream.
 using body_sink = std::function<bool(std::string_view)>;
 
-/// Sends requests, reads whole answers. A connection goes back to its pool only after a whole
-/// answer; after a timeout or an error it is closed.
+/// A connection returns to its pool only after a complete response; after a timeout or an error it
+/// is closed.
 class client {
  public:
   explicit client(asio::io_context& context, std::size_t answer_limit = 64 * 1024 * 1024)
       : context_(context), answer_limit_(answer_limit) {}
 
-  /// One exchange. @param timeout covers connect, request and answer.
-  /// @return the whole answer, or errc.
-  awaitable<result<response>> exchange(endpoint where, request message, milliseconds timeout,
+  /// Sends a request and reads the complete response, or fails with errc.
+  /// @param timeout covers connect, request and response.
+  awaitable<result<response>> exchange(endpoint peer_endpoint, request message,
+                                       milliseconds timeout,
                                        connection_use use = connection_use::pooled);
 
-  /// One exchange whose answer's body goes to `sink` as it arrives. `idle_timeout` bounds the
-  /// silence between pieces. @return the answer's head with an empty body (with the body if the
-  /// status is not 200) once the stream has ended properly, or errc.
-  awaitable<result<response>> stream(endpoint where, request message, milliseconds idle_timeout,
-                                     body_sink sink);
+  /// Sends a request and passes the body of the response to `sink` as it arrives.
+  /// @param idle_timeout longest time between two chunks.
+  /// @return the response once it is complete, or errc. Its body is empty unless the status is not
+  /// 200; in that case `sink` is not called.
+  awaitable<result<response>> stream(endpoint peer_endpoint, request message,
+                                     milliseconds idle_timeout, body_sink sink);
 
   byte_count const& traffic() const { return traffic_; }
 
  private:
   using connection = std::unique_ptr<beast::tcp_stream>;
 
-  awaitable<result<connection>> connect(endpoint const& where, milliseconds timeout);
-  connection take_pooled(endpoint const& where);
-  void give_back(endpoint const& where, connection stream);
-  /// What an exchange failed of. One without an answer in time may have met a connection that has
-  /// gone silent, and those that rest beside it may have, too: they are closed, so that ten dead
-  /// connections cost one timeout and not ten.
-  std::error_code note_failure(endpoint const& where, beast::error_code const& failure);
+  awaitable<result<connection>> connect(endpoint const& peer_endpoint, milliseconds timeout);
+  connection take_pooled(endpoint const& peer_endpoint);
+  void return_to_pool(endpoint const& peer_endpoint, connection stream);
+  /// Converts a failure of an exchange to errc. After a timeout all pooled connections to the
+  /// endpoint are closed, since they may be dead too and each would cost another timeout.
+  std::error_code note_failure(endpoint const& peer_endpoint, beast::error_code const& failure);
 
   asio::io_context& context_;
   std::size_t answer_limit_;
--- a/src/http/errc.h
+++ b/src/http/errc.h
@@ -1,5 +1,5 @@
-/// @file Errors of the HTTP layer. They say how far a request came, which decides whether it may
-/// be answered as "not run".
+/// @file Errors of the HTTP layer. They tell how far a request got, which decides whether it may be
+/// reported as not run.
 #pragma once
 
 #include "base/error_category.h"
@@ -7,15 +7,15 @@
 namespace frostline::http {
 
 enum class errc {
-  /// No byte was handed to the kernel for the peer: the request was not run.
+  /// The connection was not established and nothing was sent: the request was not run.
   connect_failed = 1,
   /// The request may have reached the peer and may have run.
   exchange_failed,
-  /// As exchange_failed, because the deadline passed.
+  /// The deadline passed; the request may have run.
   deadline_exceeded,
-  /// The answer ended before its declared length, or broke the protocol.
+  /// The response ended before its declared length.
   answer_truncated,
-  /// The answer is larger than the limit.
+  /// The response is larger than the limit.
   answer_too_large,
 };
 
--- a/src/http/json_fields.h
+++ b/src/http/json_fields.h
@@ -1,4 +1,4 @@
-/// @file Reading fields of JSON request bodies, with defaults.
+/// @file Accessors for fields of JSON bodies, with defaults for absent or mistyped fields.
 #pragma once
 
 #include <boost/json.hpp>
@@ -32,14 +32,14 @@
   return failure ? fallback : number;
 }
 
-/// Null if there is no list.
+/// Returns null if the field is absent or not an array.
 inline boost::json::array const* json_list(boost::json::object const& object,
                                            std::string_view key) {
   auto const* found = object.if_contains(key);
   return found == nullptr ? nullptr : found->if_array();
 }
 
-/// A number that is there, whole and not negative; nothing otherwise.
+/// Returns the field if it is a nonnegative integer, std::nullopt otherwise.
 inline std::optional<std::uint64_t> json_unsigned(boost::json::object const& object,
                                                   std::string_view key) {
   auto const* found = object.if_contains(key);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-/// @file HTTP messages with whole bodies, by Boost.Beast.
+/// @file Boost.Beast HTTP messages whose bodies are held in memory.
 #pragma once
 
 #include <boost/beast/core.hpp>
@@ -25,13 +25,13 @@
   return {text.data(), text.size()};
 }
 
-/// Value of a header; empty if absent.
+/// Returns the value of a header; empty if absent.
 template <class Message>
 std::string_view header(Message const& message, std::string_view name) {
   return to_string_view(message[beast::string_view(name.data(), name.size())]);
 }
 
-/// A response with a body and its type; length and version are set when it is sent.
+/// Creates a response. The server sets its length and version when it is sent.
 inline response make_response(status code, std::string body, std::string_view type) {
   response answer(code, 11);
   answer.set(field::content_type, beast::string_view(type.data(), type.size()));
@@ -39,7 +39,7 @@
   return answer;
 }
 
-/// A POST with a body and its type.
+/// Creates a POST request; `type` is the content type of the body.
 inline request make_post(std::string_view target, std::string body, std::string_view type) {
   request message(verb::post, beast::string_view(target.data(), target.size()), 11);
   message.set(field::content_type, beast::string_view(type.data(), type.size()));
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -10,7 +10,7 @@
 
 constexpr std::string_view k_part = "http";
 
-/// The status that tells a peer why its request could not be read.
+/// Returns the response status for a request that could not be read.
 status status_for(beast::error_code const& failure) {
   if (failure == bhttp::error::body_limit) return status::payload_too_large;
   if (failure == bhttp::error::header_limit) return status::request_header_fields_too_large;
@@ -18,7 +18,7 @@
   return status::bad_request;
 }
 
-bool peer_just_left(beast::error_code const& failure) {
+bool is_disconnect(beast::error_code const& failure) {
   return failure == bhttp::error::end_of_stream || failure == asio::error::connection_reset ||
          failure == asio::error::operation_aborted || failure == asio::error::eof;
 }
@@ -89,14 +89,14 @@
 
 server::~server() = default;
 
-std::string server::listen(endpoint const& where) {
+std::string server::listen(endpoint const& listen_endpoint) {
   beast::error_code failure;
-  tcp::endpoint const local(asio::ip::make_address(where.address), where.port);
+  tcp::endpoint const local(asio::ip::make_address(listen_endpoint.address), listen_endpoint.port);
   acceptor_.open(local.protocol(), failure);
   if (!failure) acceptor_.set_option(asio::socket_base::reuse_address(true), failure);
   if (!failure) acceptor_.bind(local, failure);
   if (!failure) acceptor_.listen(asio::socket_base::max_listen_connections, failure);
-  if (failure) return where.to_string() + ": " + failure.message();
+  if (failure) return listen_endpoint.to_string() + ": " + failure.message();
   spawn(context_, accept_loop());
   return {};
 }
@@ -145,13 +145,13 @@
 
 awaitable<void> server::serve(std::shared_ptr<connection> peer) {
   bool more = true;
-  while (more) more = co_await serve_one(*peer);
+  while (more) more = co_await serve_request(*peer);
   beast::error_code ignored;
   peer->stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
   connections_.erase(peer);
 }
 
-awaitable<bool> server::serve_one(connection& peer) {
+awaitable<bool> server::serve_request(connection& peer) {
   bhttp::request_parser<bhttp::string_body> parser;
   parser.header_limit(static_cast<std::uint32_t>(limits_.header_bytes));
   parser.body_limit(limits_.body_bytes);
@@ -167,7 +167,7 @@
   peer.stream.expires_after(limits_.read_timeout);
   auto [failure, count] = co_await bhttp::async_read(peer.stream, peer.buffer, parser, k_as_tuple);
   if (failure) {
-    if (peer_just_left(failure)) co_return false;
+    if (is_disconnect(failure)) co_return false;
     response refusal = make_response(status_for(failure),
                                      "{\"title\":\"malformed request\",\"detail\":\"" +
                                          failure.message() + "\",\"run_state\":\"not_run\"}",
@@ -179,12 +179,12 @@
   peer.stream.expires_never();
   ++in_flight_;
   request message = parser.release();
-  bool const more = co_await answer_one(peer, std::move(message));
+  bool const more = co_await answer_request(peer, std::move(message));
   --in_flight_;
   co_return more;
 }
 
-awaitable<bool> server::answer_one(connection& peer, request message) {
+awaitable<bool> server::answer_request(connection& peer, request message) {
   bool const wants_keep_alive = message.keep_alive();
   bool const head_only = message.method() == verb::head;
   unsigned const version = message.version();
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,4 +1,4 @@
-/// @file HTTP/1.1 server: one coroutine per connection, requests of a connection in their order.
+/// @file HTTP/1.1 server with one coroutine per connection, which handles its requests in order.
 #pragma once
 
 #include <cstdint>
@@ -12,62 +12,62 @@
 
 namespace frostline::http {
 
-/// Limits on what a peer may send, and how slowly.
+/// Limits on the size, speed and number of requests and connections.
 struct server_limits {
   std::size_t header_bytes = 16 * 1024;
   std::size_t body_bytes = 16 * 1024 * 1024;
-  /// Time for one whole request to arrive, from its first byte.
+  /// Longest time from the first byte of a request to its last.
   milliseconds read_timeout{10'000};
-  /// Time for which an idle connection is kept.
+  /// Longest time that an idle connection is kept open.
   milliseconds idle_timeout{60'000};
   std::size_t connections = 4096;
 };
 
-/// Sends the answer to one request, piece by piece when it is a stream.
+/// Sends a chunked response to one request.
 class stream_writer {
  public:
   virtual ~stream_writer() = default;
-  /// Sends status and headers of a chunked answer. @return false if the peer is gone.
+  /// Sends status and headers. @return false if the write failed.
   virtual awaitable<bool> begin(response head) = 0;
-  /// Sends one chunk. @return false if the peer is gone.
+  /// Sends one chunk. @return false if the write failed.
   virtual awaitable<bool> write(std::string chunk) = 0;
-  /// Sends the final chunk; without it the connection is reset when the handler returns.
+  /// Sends the final chunk. Without it the connection is closed when the handler returns.
   virtual awaitable<bool> finish() = 0;
-  /// Whether the peer has closed its side; only meaningful while streaming.
+  /// Returns true if the peer has closed the connection. Valid only while streaming.
   virtual bool peer_gone() = 0;
 };
 
-/// Answers one request with a whole response.
+/// Returns the complete response to a request.
 using handler = std::function<awaitable<response>(request)>;
-/// Answers one request as a stream. @return false if the plain handler shall answer it.
+/// Streams the response to a request. @return false to let the plain handler respond instead.
 using stream_handler = std::function<awaitable<bool>(request const&, stream_writer&)>;
 
-/// Accepts connections until `close_listener`; `drain` ends keep-alive politely.
+/// Accepts connections until `close_listener` or `abort`.
 class server {
  public:
   server(asio::io_context& context, server_limits limits, handler on_request,
          stream_handler on_stream = nullptr);
   ~server();
 
-  /// Binds and listens. @return an error text; empty if it listens.
-  std::string listen(endpoint const& where);
+  /// Binds and listens. @return an error message, or an empty string on success.
+  std::string listen(endpoint const& listen_endpoint);
 
-  /// Port that is bound, for listeners on port 0.
+  /// Returns the bound port, which the kernel chooses for port 0.
   std::uint16_t port() const;
 
-  /// From now on each answer carries `Connection: close`.
+  /// Ends keep-alive: each further response closes its connection.
   void drain();
 
-  /// Stops accepting; connections go on.
+  /// Stops accepting connections; open ones are kept.
   void close_listener();
 
-  /// Closes connections that wait for a request; those in an exchange go on.
+  /// Closes connections that wait for a request; those with a request in flight are kept.
   void close_idle();
 
-  /// Closes the listener and every connection at once, as the end of the process would.
+  /// Closes the listener and every connection at once, as if the process had been killed.
   void abort();
 
-  /// Requests that are being answered.
+  /// Number of requests in flight.
   std::size_t in_flight() const { return in_flight_; }
 
  private:
@@ -75,8 +75,8 @@
 
   awaitable<void> accept_loop();
   awaitable<void> serve(std::shared_ptr<connection> peer);
-  awaitable<bool> serve_one(connection& peer);
-  awaitable<bool> answer_one(connection& peer, request message);
+  awaitable<bool> serve_request(connection& peer);
+  awaitable<bool> answer_request(connection& peer, request message);
   awaitable<bool> send(connection& peer, response answer, bool keep_alive, unsigned version);
 
   asio::io_context& context_;
