--- a/src/kv/breaker.h
+++ b/src/kv/breaker.h
@@ -1,5 +1,5 @@
-/// @file Keeps a node from asking a key-value service that does not answer: after a failure the
-/// next request is let through only when a jittered, doubling pause has passed. Pure.
+/// @file Circuit breaker for requests to the key-value service. After a failure it blocks requests
+/// for a jittered backoff that doubles with each further failure. The caller passes in the time.
 #pragma once
 
 #include <algorithm>
@@ -12,32 +12,34 @@
 
 class circuit_breaker {
  public:
+  /// @param seed of the jitter; use a different one on each node.
   explicit circuit_breaker(std::uint64_t seed) : random_(seed) {}
 
-  /// Whether a request may be sent now. The first one after a pause is the probe.
-  bool allows(time_point now) {
-    if (now < closed_until_) return false;
-    if (pause_ > milliseconds(0)) closed_until_ = now + with_jitter(pause_, random_);
+  /// Returns true if a request may be sent now. The first request after a backoff is a probe: it
+  /// blocks further requests until its outcome is recorded or another backoff has passed.
+  bool allow_request(time_point now) {
+    if (now < blocked_until_) return false;
+    if (backoff_ > milliseconds(0)) blocked_until_ = now + with_jitter(backoff_, random_);
     return true;
   }
 
-  void note_answer() {
-    pause_ = milliseconds(0);
-    closed_until_ = time_point::min();
+  void record_success() {
+    backoff_ = milliseconds(0);
+    blocked_until_ = time_point::min();
   }
 
-  void note_failure(time_point now) {
-    pause_ = std::clamp(pause_ * 2, k_first_pause, k_longest_pause);
-    closed_until_ = now + with_jitter(pause_, random_);
+  void record_failure(time_point now) {
+    backoff_ = std::clamp(backoff_ * 2, k_initial_backoff, k_max_backoff);
+    blocked_until_ = now + with_jitter(backoff_, random_);
   }
 
-  static constexpr milliseconds k_first_pause{100};
-  static constexpr milliseconds k_longest_pause{5000};
+  static constexpr milliseconds k_initial_backoff{100};
+  static constexpr milliseconds k_max_backoff{5000};
 
  private:
   std::mt19937_64 random_;
-  milliseconds pause_{0};
-  time_point closed_until_ = time_point::min();
+  milliseconds backoff_{0};
+  time_point blocked_until_ = time_point::min();
 };
 
 }  // namespace frostline::kv
--- a/src/kv/client.cc
+++ b/src/kv/client.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr milliseconds k_operation_timeout{2000};
-/// A watch stream without progress notes for this long is opened anew.
+/// A watch stream that delivers nothing for this long, not even progress notifications, has failed.
 constexpr milliseconds k_watch_idle_timeout{10'000};
 
 std::error_code from_http(std::error_code error) {
@@ -30,28 +30,28 @@
 
 }  // namespace
 
-void client::note_failure() {
+void client::record_failure() {
   ++current_;
-  breaker_.note_failure(boot_clock::now());
+  breaker_.record_failure(boot_clock::now());
 }
 
 awaitable<result<std::string>> client::post(std::string target, std::string body) {
-  // What the circuit_breaker holds back was not sent, so nothing changed.
-  if (!breaker_.allows(boot_clock::now())) co_return std::error_code(errc::unavailable);
+  // A blocked request was not sent, so it changed nothing.
+  if (!breaker_.allow_request(boot_clock::now())) co_return std::error_code(errc::unavailable);
   ++operations_;
   auto message = http::make_post(target, std::move(body), http::k_json);
   auto answer = co_await transport_.exchange(server(), std::move(message), k_operation_timeout);
   if (!answer) {
-    note_failure();
+    record_failure();
     co_return from_http(answer.error());
   }
   http::status const code = answer.value().result();
   if (code == http::status::too_many_requests) co_return std::error_code(errc::rate_limited);
   if (code == http::status::service_unavailable) {
-    note_failure();
+    record_failure();
     co_return std::error_code(errc::unavailable);
   }
-  breaker_.note_answer();
+  breaker_.record_success();
   if (code != http::status::ok) co_return std::error_code(errc::malformed_answer);
   last_answer_ = boot_clock::now();
   co_return std::move(answer.value().body());
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -1,4 +1,4 @@
-/// @file Client of the platform's key-value service.
+/// @file Client of the key-value service.
 #pragma once
 
 #include <functional>
@@ -13,34 +13,36 @@
 
 namespace frostline::kv {
 
-/// Speaks etcd v3's JSON form over HTTP; tries its servers in turn.
+/// Speaks the JSON form of the etcd v3 API over HTTP. Switches to the next server after a failure.
 class client {
  public:
-  /// @param seed of the jitter; different on each node.
+  /// @param seed of the backoff jitter; use a different one on each node.
   client(http::client& transport, std::vector<endpoint> servers, std::uint64_t seed)
       : transport_(transport), servers_(std::move(servers)), breaker_(seed) {}
 
-  /// Reads one key, or with `range_end` all keys up to it.
+  /// Reads `key`, or with `range_end` all keys from `key` up to but excluding `range_end`.
   awaitable<result<range_answer>> range(std::string key, std::string range_end = {});
   /// Reads all keys that begin with `prefix`.
   awaitable<result<range_answer>> range_prefix(std::string prefix);
-  /// Applies a transaction once; errc::outcome_unknown if it may have taken effect.
+  /// Applies a transaction without retries. Fails with errc::outcome_unknown if it may have taken
+  /// effect.
   awaitable<result<transaction_answer>> apply(transaction change);
   awaitable<result<lease_id>> grant_lease(seconds time_to_live);
-  /// @return the remaining seconds, or errc::lease_expired.
+  /// Renews a lease. @return the remaining time in seconds, or errc::lease_expired.
   awaitable<result<std::uint64_t>> keep_alive(lease_id lease);
   awaitable<result<std::uint64_t>> revoke(lease_id lease);
-  /// Follows changes of a prefix from `start` until the stream ends or `sink` returns false.
+  /// Passes changes below `prefix` from revision `start` on to `sink`, until the stream ends or
+  /// `sink` returns false.
   awaitable<std::error_code> watch(std::string prefix, revision start,
                                    std::function<bool(watch_batch const&)> sink);
 
-  /// When the last answer of the service came; time_point::min() before the first.
+  /// Time of the last answer from the service; time_point::min() before the first.
   time_point last_answer() const { return last_answer_; }
   std::uint64_t operations() const { return operations_; }
 
  private:
   awaitable<result<std::string>> post(std::string target, std::string body);
-  void note_failure();
+  void record_failure();
   endpoint const& server() const { return servers_[current_ % servers_.size()]; }
 
   http::client& transport_;
--- a/src/kv/codec.cc
+++ b/src/kv/codec.cc
@@ -124,7 +124,7 @@
   json::array compares;
   for (compare const& condition : change.compares) compares.push_back(encode_compare(condition));
   json::array success;
-  for (operation const& one : change.on_success) success.push_back(encode_operation(one));
+  for (operation const& write : change.on_success) success.push_back(encode_operation(write));
   json::array failure;
   for (std::string const& key : change.read_on_failure) {
     failure.push_back(json::object{{"request_range", json::object{{"key", base64_encode(key)}}}});
--- a/src/kv/codec.h
+++ b/src/kv/codec.h
@@ -1,4 +1,4 @@
-/// @file The published JSON form of etcd v3's range, txn, lease and watch messages.
+/// @file JSON encoding of the etcd v3 range, txn, lease and watch messages.
 #pragma once
 
 #include <boost/json.hpp>
@@ -8,7 +8,7 @@
 
 namespace frostline::kv {
 
-/// First key after all keys that begin with `prefix`.
+/// Returns the exclusive end of the range of all keys that begin with `prefix`.
 std::string prefix_end(std::string_view prefix);
 
 std::string encode_range(std::string_view key, std::string_view range_end);
@@ -17,14 +17,15 @@
 
 std::optional<range_answer> decode_range(std::string_view json);
 std::optional<transaction_answer> decode_transaction(std::string_view json);
-/// One line of a watch stream.
+/// Decodes one line of a watch stream.
 std::optional<watch_batch> decode_watch(std::string_view json);
 
-/// A 64-bit number that may stand as a string, as the JSON mapping of protobuf wants it.
+/// Reads a 64-bit number, which the JSON mapping of protobuf may write as a string. Returns 0 if
+/// the field is absent or malformed.
 std::uint64_t read_number(boost::json::object const& object, std::string_view key);
-/// A base64 field; empty if absent or malformed.
+/// Decodes a base64 field. Returns an empty string if the field is absent or malformed.
 std::string read_bytes(boost::json::object const& object, std::string_view key);
-/// The JSON form of an entry, as range and watch answers carry it.
+/// Encodes an entry as range and watch responses carry it.
 boost::json::object write_entry(key_value const& entry);
 
 }  // namespace frostline::kv
--- a/src/kv/errc.h
+++ b/src/kv/errc.h
@@ -6,18 +6,18 @@
 namespace frostline::kv {
 
 enum class errc {
-  /// The service did not take the request: nothing changed.
+  /// The service did not accept the request; nothing changed.
   unavailable = 1,
-  /// The service asks for fewer requests: nothing changed.
+  /// The service rejected the request because of its rate limit; nothing changed.
   rate_limited,
-  /// The request may have taken effect; read back to know.
+  /// The request may have taken effect; the caller has to read the keys to find out.
   outcome_unknown,
   /// The answer does not follow the protocol.
   malformed_answer,
-  /// The lease is gone.
+  /// The lease has expired or was revoked.
   lease_expired,
-  /// A watch was not answered in time, though its connection has not failed: the answer was lost,
-  /// or the connection has gone silent.
+  /// A watch got no answer in time on a connection that reported no error: the answer was lost, or
+  /// the connection is dead.
   watch_silent,
 };
 
--- a/src/kv/types.h
+++ b/src/kv/types.h
@@ -1,4 +1,4 @@
-/// @file What the key-value service holds and how it is changed (etcd v3's model).
+/// @file Data model of the key-value service, which follows etcd v3.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
   std::vector<key_value> entries;
 };
 
-/// Holds if the key's modification revision is the one given; 0 means absent.
+/// Holds if the key's modification revision equals `mod_revision`; 0 means that the key is absent.
 struct compare {
   std::string key;
   revision mod_revision = 0;
@@ -38,7 +38,7 @@
   lease_id lease = 0;
 };
 
-/// All comparisons hold: `on_success` takes effect. Else the keys of `read_on_failure` are read.
+/// Applies `on_success` if all comparisons hold; otherwise reads the keys of `read_on_failure`.
 struct transaction {
   std::vector<compare> compares;
   std::vector<operation> on_success;
@@ -48,7 +48,7 @@
 struct transaction_answer {
   bool succeeded = false;
   revision store_revision = 0;
-  /// With a failed comparison: the keys read.
+  /// Entries of `read_on_failure`, if a comparison failed.
   std::vector<key_value> read;
 };
 
@@ -60,7 +60,7 @@
 struct watch_batch {
   revision store_revision = 0;
   std::vector<watch_event> events;
-  /// The requested revision was compacted: read the range anew.
+  /// The requested revision was compacted: the caller has to list the range again.
   bool compacted = false;
 };
 
--- a/tests/unit/kv/follower_test.cc
+++ b/tests/unit/kv/follower_test.cc
@@ -1,4 +1,4 @@
-/// @file A prefix_watcher keeps its view in step with the store.
+/// @file Tests that a prefix_watcher keeps its view consistent with the store.
 
 #include "kv/follower.h"
 
@@ -16,7 +16,7 @@
   memory_record_store store{context};
   std::set<std::string> view;
   int snapshots = 0;
-  std::shared_ptr<kv::prefix_watcher> one;
+  std::shared_ptr<kv::prefix_watcher> watcher;
 
   void setup() override {
     kv::prefix_watcher_callbacks callbacks;
@@ -32,70 +32,70 @@
         view.insert(event.entry.key);
       }
     };
-    one = std::make_shared<kv::prefix_watcher>(context, store, "a/", std::move(callbacks),
-                                               kv::prefix_watcher_options());
+    watcher = std::make_shared<kv::prefix_watcher>(context, store, "a/", std::move(callbacks),
+                                                   kv::prefix_watcher_options());
   }
 
-  /// Runs what is ready, and timers of some milliseconds.
-  void turn() { context.run_for(std::chrono::milliseconds(5)); }
-  void turn_until(std::function<bool()> condition) {
+  /// Runs ready handlers, and timers that expire within 5 ms.
+  void run_ready() { context.run_for(std::chrono::milliseconds(5)); }
+  void run_until(std::function<bool()> condition) {
     while (!condition() && context.run_one() > 0) {
     }
   }
 };
 
-TEST(follower_test, lists_once_and_follows_changes_of_its_prefix) {
+TEST(follower_test, lists_once_and_watches_changes_of_its_prefix) {
   store.put_now("a/1", "");
   store.put_now("b/1", "");
-  one->start();
-  turn();
+  watcher->start();
+  run_ready();
   store.put_now("a/2", "");
   store.put_now("b/2", "");
-  turn();
+  run_ready();
   store.remove_now("a/1");
-  turn();
+  run_ready();
   LONGS_EQUAL(1, snapshots);
   LONGS_EQUAL(1, view.size());
   CHECK(view.contains("a/2"));
 }
 
-TEST(follower_test, lists_again_when_history_is_gone) {
-  one->start();
-  turn();
+TEST(follower_test, lists_again_after_compaction) {
+  watcher->start();
+  run_ready();
   store.put_now("a/1", "");
   store.compact();
-  turn_until([&] { return snapshots == 2; });
+  run_until([&] { return snapshots == 2; });
   CHECK(view.contains("a/1"));
 }
 
-TEST(follower_test, goes_on_after_an_outage) {
+TEST(follower_test, recovers_after_an_outage) {
   store.set_down(true);
-  one->start();
-  turn();
-  CHECK_FALSE(one->is_loaded());
+  watcher->start();
+  run_ready();
+  CHECK_FALSE(watcher->is_loaded());
   store.put_now("a/1", "");
   store.set_down(false);
-  turn_until([&] { return one->is_loaded(); });
+  run_until([&] { return watcher->is_loaded(); });
   CHECK(view.contains("a/1"));
 }
 
-TEST(follower_test, resynchronizing_replaces_a_watch_that_may_be_dead) {
-  one->start();
-  turn();
-  one->resynchronize();
-  turn();
+TEST(follower_test, resynchronize_lists_again_and_restarts_the_watch) {
+  watcher->start();
+  run_ready();
+  watcher->resynchronize();
+  run_ready();
   LONGS_EQUAL(2, snapshots);
   store.put_now("a/1", "");
-  turn();
+  run_ready();
   CHECK(view.contains("a/1"));
 }
 
-TEST(follower_test, dropped_while_its_watch_waits_it_tells_nothing_more) {
-  one->start();
-  turn();
-  one->stop();
-  one.reset();
+TEST(follower_test, no_callbacks_after_stop_with_a_pending_watch) {
+  watcher->start();
+  run_ready();
+  watcher->stop();
+  watcher.reset();
   store.put_now("a/1", "");
-  turn();
+  run_ready();
   CHECK(view.empty());
 }
--- a/tests/unit/kv/kv_codec_test.cc
+++ b/tests/unit/kv/kv_codec_test.cc
@@ -17,13 +17,13 @@
   CHECK_FALSE(base64_decode("****"));
 }
 
-TEST(kv_codec_test, prefix_ends_behind_all_its_keys) {
+TEST(kv_codec_test, prefix_end_follows_all_keys_of_the_prefix) {
   STRCMP_EQUAL("/frostlinf", kv::prefix_end("/frostline").c_str());
   CHECK(kv::prefix_end(std::string("a\xff")) == "b");
   CHECK(kv::prefix_end("\xff") == std::string(1, '\0'));
 }
 
-TEST(kv_codec_test, numbers_may_stand_as_strings) {
+TEST(kv_codec_test, numbers_may_be_encoded_as_strings) {
   auto const object = boost::json::parse(R"({"a":"18446744073709551615","b":7,"c":true})");
   CHECK(kv::read_number(object.as_object(), "a") == 18446744073709551615ULL);
   LONGS_EQUAL(7, kv::read_number(object.as_object(), "b"));
@@ -37,7 +37,7 @@
   CHECK(kv::decode_transaction(R"({"header":{"revision":"3"},"succeeded":true})")->succeeded);
 }
 
-TEST(kv_codec_test, watch_lines_tell_changes_and_compaction) {
+TEST(kv_codec_test, decodes_watch_events_and_compaction) {
   auto const batch = kv::decode_watch(
       R"({"result":{"header":{"revision":"9"},"events":[{"type":"DELETE","kv":{"key":"YQ==","mod_revision":"9"}},{"kv":{"key":"Yg==","value":"Yw==","mod_revision":"8"}}]}})");
   LONGS_EQUAL(2, batch->events.size());
