--- a/src/rpc/blocking.h
+++ b/src/rpc/blocking.h
@@ -1,4 +1,4 @@
-/// @file Runs one coroutine to its end, for command-line tools and tests.
+/// @file Blocking calls for command-line tools and tests.
 #pragma once
 
 #include <optional>
@@ -9,33 +9,33 @@
 
 namespace frostline::rpc {
 
-/// Runs `work` on `context` until it has ended. @return what it returned.
+/// Runs `work` on `context` until it completes. @return the result of `work`.
 template <class Value>
 Value run_blocking(asio::io_context& context, awaitable<Value> work) {
   std::optional<Value> outcome;
-  auto keep = [](awaitable<Value> inner, std::optional<Value>& into) -> awaitable<void> {
+  auto store_result = [](awaitable<Value> inner, std::optional<Value>& into) -> awaitable<void> {
     into.emplace(co_await std::move(inner));
   };
-  spawn(context, keep(std::move(work), outcome));
+  spawn(context, store_result(std::move(work), outcome));
   context.restart();
   while (!outcome && context.run_one() > 0) {
   }
   return std::move(*outcome);
 }
 
-/// A client whose calls block.
+/// RPC and HTTP client with blocking calls.
 class blocking_client {
  public:
   template <class Request, class Response>
-  reply<Response> call(endpoint const& where, std::string_view service, std::string_view method,
-                       Request const& request, milliseconds timeout) {
-    return run_blocking(
-        context_, rpc::call<Request, Response>(client_, where, service, method, request, timeout));
+  reply<Response> call(endpoint const& peer_endpoint, std::string_view service,
+                       std::string_view method, Request const& request, milliseconds timeout) {
+    return run_blocking(context_, rpc::call<Request, Response>(client_, peer_endpoint, service,
+                                                               method, request, timeout));
   }
 
-  result<http::response> exchange(endpoint const& where, http::request message,
+  result<http::response> exchange(endpoint const& peer_endpoint, http::request message,
                                   milliseconds timeout) {
-    return run_blocking(context_, client_.exchange(where, std::move(message), timeout));
+    return run_blocking(context_, client_.exchange(peer_endpoint, std::move(message), timeout));
   }
 
  private:
--- a/src/rpc/codec.h
+++ b/src/rpc/codec.h
@@ -1,4 +1,4 @@
-/// @file FlatBuffers messages to and from bytes and JSON.
+/// @file Conversion of FlatBuffers messages to and from bytes and JSON.
 #pragma once
 
 #include <flatbuffers/flatbuffers.h>
@@ -11,11 +11,11 @@
 
 namespace frostline::rpc {
 
-/// What a buffer from outside may hold; deeper or larger ones are malformed.
+/// Limits for untrusted buffers; a buffer that exceeds them counts as malformed.
 inline constexpr flatbuffers::uoffset_t k_max_depth = 16;
 inline constexpr flatbuffers::uoffset_t k_max_tables = 200'000;
 
-/// Serializes a message in its native form.
+/// Serializes a message from its native (object API) form.
 template <class Native>
 std::string encode(Native const& message) {
   flatbuffers::FlatBufferBuilder builder;
@@ -23,11 +23,11 @@
   return {reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-/// Checks and reads a message. @return nothing if the bytes are not one.
+/// Verifies and unpacks a message. @return std::nullopt if the bytes are not a valid message.
 template <class Native>
 std::optional<Native> decode(std::string_view bytes) {
   using table = typename Native::TableType;
-  // The verifier needs the alignment that a string does not promise.
+  // The verifier requires an alignment that string data does not guarantee.
   std::vector<std::uint64_t> aligned((bytes.size() + 7) / 8);
   if (!bytes.empty()) std::memcpy(aligned.data(), bytes.data(), bytes.size());
   auto const* data = reinterpret_cast<std::uint8_t const*>(aligned.data());
@@ -38,20 +38,20 @@
   return message;
 }
 
-/// JSON through FlatBuffers' own reflection of the schema.
+/// Converts messages between binary and JSON with the parsed schema.
 class json_codec {
  public:
   json_codec();
   ~json_codec();
 
   /// @param type full table name, such as "frostline.rpc.PutTaskRequest".
-  /// @param error set to the parser's complaint if nothing is returned.
+  /// @param error receives the parser's error message if the conversion fails.
   std::optional<std::string> to_binary(std::string_view type, std::string const& json,
                                        std::string& error);
-  /// @param compact without line breaks.
+  /// @param compact omits line breaks and indentation.
   std::string to_json(std::string_view type, std::string const& binary, bool compact);
 
-  /// Whether the schema declares the method with these message types.
+  /// Returns true if the schema declares the method with these message types.
   bool has_method(std::string_view service, std::string_view method, std::string_view request_type,
                   std::string_view response_type) const;
 
--- a/src/rpc/dispatcher.h
+++ b/src/rpc/dispatcher.h
@@ -1,4 +1,4 @@
-/// @file Maps POST /rpc/v1/<Service>/<Method> to typed handlers, in binary or JSON.
+/// @file Maps POST /rpc/v1/<Service>/<Method> to typed handlers; bodies are binary or JSON.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,8 @@
 
 class dispatcher {
  public:
-  /// Registers a method; its name and types must stand in the schema.
+  /// Registers a method. Throws std::logic_error if the schema does not declare it with these
+  /// types.
   template <class Request, class Response>
   void add(std::string_view service, std::string_view method,
            std::function<awaitable<reply<Response>>(Request)> handle) {
--- a/src/rpc/problem.cc
+++ b/src/rpc/problem.cc
@@ -72,41 +72,41 @@
   return {http::status::bad_gateway, why, std::move(detail), run_state::unknown, milliseconds(0)};
 }
 
-http::response to_response(problem const& issue) {
+http::response to_response(problem const& error) {
   boost::json::object body;
   body["type"] = "about:blank";
-  body["title"] = to_string(issue.why);
-  body["status"] = static_cast<int>(issue.code);
-  body["detail"] = issue.detail;
-  body["run_state"] = issue.state == run_state::not_run ? "not_run" : "unknown";
-  body["retry_after_ms"] = issue.retry_after.count();
-  auto answer = http::make_response(issue.code, boost::json::serialize(body), http::k_problem_json);
-  if (issue.retry_after.count() > 0) {
-    auto const whole_seconds = (issue.retry_after.count() + 999) / 1000;
+  body["title"] = to_string(error.why);
+  body["status"] = static_cast<int>(error.code);
+  body["detail"] = error.detail;
+  body["run_state"] = error.state == run_state::not_run ? "not_run" : "unknown";
+  body["retry_after_ms"] = error.retry_after.count();
+  auto answer = http::make_response(error.code, boost::json::serialize(body), http::k_problem_json);
+  if (error.retry_after.count() > 0) {
+    auto const whole_seconds = (error.retry_after.count() + 999) / 1000;
     answer.set(http::field::retry_after, std::to_string(whole_seconds));
   }
   return answer;
 }
 
 problem from_response(http::response const& answer) {
-  problem issue;
-  issue.code = answer.result();
-  issue.state = run_state::unknown;
+  problem error;
+  error.code = answer.result();
+  error.state = run_state::unknown;
   boost::system::error_code failure;
   auto const parsed = boost::json::parse(answer.body(), failure);
   if (failure || !parsed.is_object()) {
-    issue.detail = "status " + std::to_string(answer.result_int());
-    return issue;
+    error.detail = "status " + std::to_string(answer.result_int());
+    return error;
   }
   auto const& body = parsed.as_object();
-  issue.why = parse_reason(text_field(body, "title"));
-  issue.detail = text_field(body, "detail");
-  if (text_field(body, "run_state") == "not_run") issue.state = run_state::not_run;
+  error.why = parse_reason(text_field(body, "title"));
+  error.detail = text_field(body, "detail");
+  if (text_field(body, "run_state") == "not_run") error.state = run_state::not_run;
   auto const* retry_after = body.if_contains("retry_after_ms");
   if (retry_after != nullptr && retry_after->is_int64()) {
-    issue.retry_after = milliseconds(retry_after->as_int64());
+    error.retry_after = milliseconds(retry_after->as_int64());
   }
-  return issue;
+  return error;
 }
 
 }  // namespace frostline::rpc
--- a/src/rpc/problem.h
+++ b/src/rpc/problem.h
@@ -1,5 +1,5 @@
-/// @file The one shape of a refusal or failure towards callers: RFC 9457 problem details with a
-/// named reason, whether the request was run, and when to come back.
+/// @file Error responses to callers: RFC 9457 problem details with a reason, whether the request
+/// may have run, and when to retry.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -10,15 +10,15 @@
 
 namespace frostline::rpc {
 
-/// Whether the work behind an answer may have been done.
+/// Tells the caller whether a failed request may have been run.
 enum class run_state {
-  /// Proved not to have run.
+  /// The request has certainly not run.
   not_run,
-  /// May have run.
+  /// The request may have run.
   unknown,
 };
 
-/// Every cause for which frostline refuses or fails, as in logs, metrics and answers.
+/// Reasons why a request is rejected or fails, as reported in logs, metrics and responses.
 enum class reason {
   malformed_request,
   unknown_method,
@@ -52,25 +52,26 @@
   reason why = reason::internal_error;
   std::string detail;
   run_state state = run_state::not_run;
-  /// When to come back; zero if coming back does not help.
+  /// Time after which to retry; zero if a retry does not help.
   milliseconds retry_after{0};
 };
 
-/// Value or a problem.
+/// A value, or a problem.
 template <class Value>
 using reply = boost::outcome_v2::basic_result<Value, problem, boost::outcome_v2::policy::terminate>;
 
-/// A refusal that is worth trying again.
+/// Problem for a request that was not run and may be retried after `retry_after`.
 problem unavailable(reason why, std::string detail, milliseconds retry_after);
-/// A request that can't succeed as it is.
+/// Problem for a malformed request.
 problem bad_request(std::string detail);
-/// A request that may have run.
+/// Problem for a request that may have run.
 problem unknown_outcome(reason why, std::string detail);
 
-/// Renders a problem with its Retry-After header (whole seconds, at least 1).
-http::response to_response(problem const& issue);
+/// Renders a problem as a response. A nonzero `retry_after` also sets the Retry-After header,
+/// rounded up to whole seconds.
+http::response to_response(problem const& error);
 
-/// Reads a problem back from an answer that is not 200.
+/// Parses the problem in a response whose status is not 200.
 problem from_response(http::response const& answer);
 
 }  // namespace frostline::rpc
--- a/tests/unit/rpc/rpc_codec_test.cc
+++ b/tests/unit/rpc/rpc_codec_test.cc
@@ -13,7 +13,7 @@
   std::string error;
 };
 
-TEST(rpc_codec_test, json_and_binary_say_the_same) {
+TEST(rpc_codec_test, json_round_trips_through_binary) {
   auto const binary =
       codec.to_binary("frostline.rpc.PublishVersionRequest", R"({"task":"t","version":7})", error);
   auto const message = rpc::decode<rpc::PublishVersionRequestT>(*binary);
@@ -24,7 +24,7 @@
         text.find("\"version\":7") != std::string::npos);
 }
 
-TEST(rpc_codec_test, unknown_json_fields_are_passed_over_bad_ones_named) {
+TEST(rpc_codec_test, ignores_unknown_json_fields_and_reports_malformed_ones) {
   CHECK(
       codec.to_binary("frostline.rpc.PublishVersionRequest", R"({"later":[1],"version":7})", error)
           .has_value());
@@ -33,7 +33,7 @@
   CHECK_FALSE(codec.to_binary("frostline.rpc.PublishVersionRequest", "{", error));
 }
 
-TEST(rpc_codec_test, every_cut_and_flip_of_a_message_is_read_safely) {
+TEST(rpc_codec_test, truncated_or_corrupted_messages_are_decoded_safely) {
   rpc::TaskRecordT task;
   task.name = "name";
   task.engines = {"a", "b"};
@@ -48,7 +48,7 @@
   CHECK_FALSE(rpc::decode<rpc::TaskRecordT>("garbage that is no table"));
 }
 
-TEST(rpc_codec_test, methods_must_stand_in_the_schema) {
+TEST(rpc_codec_test, methods_must_be_declared_in_the_schema) {
   CHECK(codec.has_method("OperatorService", "PutTask", "frostline.rpc.PutTaskRequest",
                          "frostline.rpc.ChangeResponse"));
   CHECK_FALSE(codec.has_method("OperatorService", "PutTask", "frostline.rpc.PutRouteRequest",
@@ -56,7 +56,7 @@
   CHECK_FALSE(codec.has_method("OperatorService", "DropTask", "", ""));
 }
 
-TEST(rpc_codec_test, problems_survive_their_answer) {
+TEST(rpc_codec_test, problems_round_trip_through_responses) {
   auto const sent = rpc::unavailable(rpc::reason::queue_full, "full", milliseconds(1200));
   auto const answer = rpc::to_response(sent);
   STRCMP_EQUAL("2", std::string(http::header(answer, "Retry-After")).c_str());
@@ -66,12 +66,12 @@
   LONGS_EQUAL(1200, read.retry_after.count());
 }
 
-TEST(rpc_codec_test, answer_that_is_no_problem_is_an_unknown_outcome) {
+TEST(rpc_codec_test, response_without_a_problem_is_an_unknown_outcome) {
   auto const answer = http::make_response(http::status::bad_gateway, "<html>", "text/html");
   CHECK(rpc::from_response(answer).state == rpc::run_state::unknown);
 }
 
-TEST(rpc_codec_test, faulty_records_are_named) {
+TEST(rpc_codec_test, invalid_record_fields_are_named) {
   rpc::TaskRecordT task;
   CHECK(operators::check_task(task, nullptr).starts_with("task.name"));
   task.name = "a";
