--- a/src/standin/app_server.cc
+++ b/src/standin/app_server.cc
@@ -11,9 +11,9 @@
 
 struct fault_settings {
   std::int64_t delay_ms = 0;
-  /// The next so many answers are cut in the middle of their body.
+  /// Number of next responses that are cut off in the middle of their body.
   std::int64_t truncate_answers = 0;
-  /// The next so many requests are answered with status 503 and `Request-Not-Run: true`.
+  /// Number of next requests that get status 503 and `Request-Not-Run: true`.
   std::int64_t refuse = 0;
   bool leaving = false;
 };
@@ -65,7 +65,7 @@
                                {"leaving", faults_.leaving}});
   }
 
-  /// Echoes what identifies the request, so that a crossed answer shows.
+  /// Echoes the request's identity, so that callers detect responses to other requests.
   http::response answer(http::request const& message) const {
     json::object body{{"server", settings_.id},
                       {"target", http::as_view(message.target())},
@@ -92,7 +92,7 @@
     return empty_ok();
   }
 
-  /// Serves the fault of a truncated answer: a part of the body, then a reset.
+  /// Injects a truncated response: half of the body, then a reset.
   awaitable<bool> truncate(http::request const& message, http::stream_writer& writer) {
     if (faults_.truncate_answers == 0 || is_control(http::as_view(message.target()))) {
       co_return false;
@@ -112,7 +112,7 @@
   std::uint64_t incarnation_;
   fault_settings faults_;
   async_condition freed_{context_};
-  /// Requests in service; the others wait in order.
+  /// Requests being served, `slots` at most; others wait.
   std::uint32_t serving_ = 0;
 };
 
--- a/src/standin/engine_group.h
+++ b/src/standin/engine_group.h
@@ -1,4 +1,4 @@
-/// @file Many stand-ins of engines in one process, for systems too large for a process each.
+/// @file Runs many stand-ins of engines in one process, for large emulated systems.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
   engine_group();
   ~engine_group();
 
-  /// Starts one more engine. @return the port it listens on; 0 if it can't.
+  /// Starts another engine. @return its port; 0 if it can't listen.
   std::uint16_t add(asio::io_context& context, options const& settings);
 
  private:
--- a/src/standin/engine_model.cc
+++ b/src/standin/engine_model.cc
@@ -12,7 +12,7 @@
 constexpr std::size_t k_waiting_limit = 64;
 constexpr std::uint32_t k_prefill_tokens_per_step = 64;
 constexpr std::uint32_t k_characters_per_token = 4;
-/// Shape and scale of the Pareto distribution of lengths.
+/// Parameters of the Pareto distribution of sample lengths.
 constexpr double k_length_shape = 1.2;
 constexpr double k_length_scale = 24;
 
@@ -38,8 +38,9 @@
 }
 
 bool prefix_cache::touch(std::string const& prompt, std::uint32_t tokens) {
-  auto const found = std::find_if(recent_.begin(), recent_.end(),
-                                  [&](held_prompt const& one) { return one.prompt == prompt; });
+  auto const found = std::find_if(recent_.begin(), recent_.end(), [&](cached_prompt const& cached) {
+    return cached.prompt == prompt;
+  });
   if (found != recent_.end()) {
     recent_.splice(recent_.begin(), recent_, found);
     return true;
@@ -55,8 +56,8 @@
 
 bool engine_model::submit(generation_request request) {
   if (waiting_.size() >= k_waiting_limit) return false;
-  auto const lower = [](generation_request const& one, std::int32_t priority) {
-    return one.priority >= priority;
+  auto const lower = [](generation_request const& queued, std::int32_t priority) {
+    return queued.priority >= priority;
   };
   auto const place = std::lower_bound(waiting_.begin(), waiting_.end(), request.priority, lower);
   waiting_.insert(place, std::move(request));
@@ -65,9 +66,9 @@
 
 bool engine_model::cancel(std::string const& id) {
   auto const waiting_before = waiting_.size();
-  std::erase_if(waiting_, [&](generation_request const& one) { return one.id == id; });
+  std::erase_if(waiting_, [&](generation_request const& queued) { return queued.id == id; });
   auto const running_before = running_.size();
-  std::erase_if(running_, [&](running_sample const& one) { return one.request.id == id; });
+  std::erase_if(running_, [&](running_sample const& sample) { return sample.request.id == id; });
   return waiting_before != waiting_.size() || running_before != running_.size();
 }
 
@@ -97,18 +98,18 @@
       ++at;
       continue;
     }
-    generated_tokens one;
-    one.id = sample.request.id;
-    one.version = versions_[sample.request.model];
+    generated_tokens output;
+    output.id = sample.request.id;
+    output.version = versions_[sample.request.model];
     if (sample.position < sample.length) {
-      one.text = token_text(one.version, sample.request.prompt, sample.request.sample_index,
-                            sample.position);
-      one.tokens = 1;
+      output.text = token_text(output.version, sample.request.prompt, sample.request.sample_index,
+                               sample.position);
+      output.tokens = 1;
       ++sample.position;
     }
-    one.finished = sample.position >= sample.length;
-    bool const finished = one.finished;
-    produced.push_back(std::move(one));
+    output.finished = sample.position >= sample.length;
+    bool const finished = output.finished;
+    produced.push_back(std::move(output));
     at = finished ? running_.erase(at) : std::next(at);
   }
   return produced;
@@ -117,8 +118,8 @@
 order_result engine_model::check_order(std::uint64_t epoch, std::string const& model,
                                        std::uint64_t version) {
   if (epoch < epoch_) return order_result::stale_epoch;
-  auto const held = versions_.find(model);
-  bool const older = held != versions_.end() && version < held->second;
+  auto const current = versions_.find(model);
+  bool const older = current != versions_.end() && version < current->second;
   if (epoch == epoch_ && older) return order_result::conflicting_content;
   epoch_ = epoch;
   return order_result::accepted;
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -1,5 +1,5 @@
 /// @file Model of an inference engine: continuous batching, prefix cache, versions, fenced orders.
-/// Pure: the server drives it step by step and passes the time in.
+/// Without I/O or clock: the server calls `step`.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace frostline::standin {
 
-/// One sample to generate.
+/// A sample to generate.
 struct generation_request {
   std::string id;
   std::string model;
@@ -27,7 +27,7 @@
   std::uint32_t resume_tokens = 0;
 };
 
-/// Tokens that one step produced for one sample.
+/// Tokens that one step generated for one sample.
 struct generated_tokens {
   std::string id;
   std::uint64_t version = 0;
@@ -36,25 +36,25 @@
   bool finished = false;
 };
 
-/// Least recently used prompts, by their size in tokens.
+/// LRU cache of prompts, bounded by their total size in tokens.
 class prefix_cache {
  public:
   explicit prefix_cache(std::uint32_t capacity_tokens) : capacity_(capacity_tokens) {}
 
-  /// @return whether the prompt was held; it is the most recent one afterwards.
+  /// Makes the prompt the most recently used one. @return true if it was cached.
   bool touch(std::string const& prompt, std::uint32_t tokens);
 
  private:
-  struct held_prompt {
+  struct cached_prompt {
     std::string prompt;
     std::uint32_t tokens;
   };
   std::uint32_t capacity_;
   std::uint32_t used_ = 0;
-  std::list<held_prompt> recent_;
+  std::list<cached_prompt> recent_;
 };
 
-/// Answer to a fenced order.
+/// Result of checking a fenced order.
 enum class order_result { accepted, stale_epoch, conflicting_content };
 
 class engine_model {
@@ -64,7 +64,7 @@
 
   /// Queues a sample by priority. @return false if the queue is full.
   bool submit(generation_request request);
-  /// @return whether the sample was known.
+  /// @return false if the sample is unknown.
   bool cancel(std::string const& id);
   /// Generates one token for each running sample.
   std::vector<generated_tokens> step();
@@ -99,11 +99,13 @@
   std::list<running_sample> running_;
 };
 
-/// Tokens that a sample will have: heavy-tailed, the same on every engine of one seed.
+/// Returns the length of a sample in tokens: Pareto-distributed, and the same on every engine with
+/// the same seed.
 std::uint32_t sample_length(std::string const& prompt, std::uint32_t sample_index,
                             std::uint32_t max_tokens, std::uint64_t seed);
 
-/// Text of the token at `position`: names the version that made it and proves whose it is.
+/// Returns the text of the token at `position`: the version, and a hash of prompt, sample and
+/// position by which the checker verifies it.
 std::string token_text(std::uint64_t version, std::string const& prompt, std::uint32_t sample_index,
                        std::uint32_t position);
 
--- a/src/standin/engine_server.cc
+++ b/src/standin/engine_server.cc
@@ -1,12 +1,12 @@
-/// @file Stand-in of a model engine: OpenAI-style completions over server-sent events, with the
-/// weight version of each run of tokens in the stream, fenced load orders and lagged load reports.
+/// @file Stand-in of a model engine: OpenAI-style completions over server-sent events that carry
+/// the weight version of their tokens, fenced load orders, and delayed load reports.
 ///
-/// Extra fields, as this stand-in publishes them:
+/// Extensions to the OpenAI API:
 ///   request:  `request_id`, `epoch`, `sample_index`, `resume_tokens`, `priority`,
-///             `stream_interval` (tokens of one version that go into one event)
-///   event:    `frostline: {version, tokens}` beside `choices[0].text`
-///   headers:  `Engine-Incarnation` on every answer
-/// A refusal with status 429 or 503 and `not_run: true` was not run.
+///             `stream_interval` (number of tokens of one version per event)
+///   event:    `frostline: {version, tokens}` in addition to `choices[0].text`
+///   headers:  `Engine-Incarnation` in every response
+/// `not_run: true` in a response with status 409, 429 or 503 means that the request did not run.
 
 #include "http/client.h"
 #include "standin/engine_group.h"
@@ -19,37 +19,37 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t k_reports_kept = 256;
+constexpr std::size_t k_max_reports = 256;
 
-/// What a stream has yet to send.
+/// Generated tokens that a stream has not sent yet.
 struct open_stream {
   explicit open_stream(asio::io_context& context) : changed(context) {}
-  /// Whether an event is due: enough tokens, another version, or the end.
+  /// Returns true if an event can be sent: it is full, the version changed, or the sample ended.
   bool is_due() const {
     if (pending.empty()) return false;
-    bool const whole = pending.front().finished || pending.front().tokens >= interval;
-    return whole || pending.size() > 1;
+    bool const complete = pending.front().finished || pending.front().tokens >= interval;
+    return complete || pending.size() > 1;
   }
 
   std::deque<generated_tokens> pending;
-  /// Tokens of one version that go into one event.
+  /// Number of tokens of one version per event.
   std::uint32_t interval = 1;
   async_condition changed;
   bool closed = false;
 };
 
 struct fault_settings {
-  /// The next so many load orders fail after the weights were fetched.
+  /// Number of next load orders that fail after fetching the weights.
   std::int64_t fail_loads = 0;
-  /// Streams end without their last chunk after so many events; 0 is off.
+  /// Streams end without their last chunk after this number of events; 0 disables the fault.
   std::int64_t truncate_after = 0;
-  /// Steps stand still until then.
+  /// No generation step runs before this time.
   time_point stalled_until = time_point::min();
   bool leaving = false;
 };
 
 struct load_report {
-  time_point taken;
+  time_point recorded_at;
   json::object body;
 };
 
@@ -63,13 +63,13 @@
         journal_(settings.journal_path),
         model_(settings.slots, settings.cache_tokens, 1),
         client_(context),
-        work_(context),
+        work_available_(context),
         incarnation_(wall_clock_ms()) {}
 
   void start() {
     journal_.write("started", {{"engine", settings_.id}, {"incarnation", incarnation_}});
-    spawn(context_, generate());
-    spawn(context_, report_load());
+    spawn(context_, generate_loop());
+    spawn(context_, report_loop());
   }
 
   http::handler request_handler() {
@@ -83,20 +83,20 @@
   }
 
  private:
-  std::chrono::microseconds step_time() const {
+  std::chrono::microseconds step_duration() const {
     return std::chrono::microseconds(settings_.step_us +
                                      settings_.step_us_per_sample * model_.running());
   }
 
-  awaitable<void> generate() {
+  awaitable<void> generate_loop() {
     boot_timer timer(context_);
     time_point next = boot_clock::now();
     while (true) {
       if (model_.running() == 0 && model_.waiting() == 0) {
-        co_await work_.wait();
+        co_await work_available_.wait();
         next = boot_clock::now();
       }
-      next = std::max(next + step_time(), boot_clock::now() - milliseconds(100));
+      next = std::max(next + step_duration(), boot_clock::now() - milliseconds(100));
       timer.expires_at(std::max(next, faults_.stalled_until));
       co_await timer.async_wait(k_as_tuple);
       for (generated_tokens& piece : model_.step()) deliver(std::move(piece));
@@ -131,22 +131,22 @@
             {"leaving", faults_.leaving},  {"models", std::move(models)}};
   }
 
-  awaitable<void> report_load() {
+  awaitable<void> report_loop() {
     while (true) {
       reports_.push_back({boot_clock::now(), current_load()});
-      if (reports_.size() > k_reports_kept) reports_.pop_front();
+      if (reports_.size() > k_max_reports) reports_.pop_front();
       co_await wait_for(milliseconds(settings_.report_interval_ms));
     }
   }
 
-  /// The newest report that is at least as old as the lag.
-  http::response load() const {
-    time_point const cut = boot_clock::now() - milliseconds(settings_.report_lag_ms);
-    load_report const* chosen = &reports_.front();
+  /// Returns the newest report that is at least `report_lag_ms` old.
+  http::response load_response() const {
+    time_point const cutoff = boot_clock::now() - milliseconds(settings_.report_lag_ms);
+    load_report const* selected = &reports_.front();
     for (load_report const& report : reports_) {
-      if (report.taken <= cut) chosen = &report;
+      if (report.recorded_at <= cutoff) selected = &report;
     }
-    return answer(http::status::ok, chosen->body);
+    return answer(http::status::ok, selected->body);
   }
 
   http::response answer(http::status code, json::object const& body) const {
@@ -157,7 +157,7 @@
 
   awaitable<http::response> handle(http::request message) {
     std::string const target(message.target());
-    if (target == "/v1/load") co_return load();
+    if (target == "/v1/load") co_return load_response();
     if (target == "/healthz") co_return answer(http::status::ok, {{"status", "ok"}});
     auto body = parse_json_object(message.body());
     if (!body) co_return answer(http::status::bad_request, {{"error", "body is not JSON"}});
@@ -192,9 +192,9 @@
     auto const epoch = static_cast<std::uint64_t>(json_number(body, "epoch"));
     auto const version = static_cast<std::uint64_t>(json_number(body, "version"));
     std::string const model = json_text(body, "model");
-    order_result const fence = model_.check_order(epoch, model, version);
-    if (fence != order_result::accepted) {
-      bool const stale = fence == order_result::stale_epoch;
+    order_result const fence_result = model_.check_order(epoch, model, version);
+    if (fence_result != order_result::accepted) {
+      bool const stale = fence_result == order_result::stale_epoch;
       co_return answer(
           http::status::conflict,
           {{"error", stale ? "stale epoch" : "conflicting content"}, {"epoch", model_.epoch()}});
@@ -206,7 +206,7 @@
       --faults_.fail_loads;
       co_return answer(http::status::internal_server_error, {{"error", "swap failed"}});
     }
-    // Another order may have come meanwhile: the fence holds at the time of the effect, too.
+    // A newer order may have arrived while the weights loaded, so check the epoch again.
     if (model_.check_order(epoch, model, version) != order_result::accepted) {
       co_return answer(http::status::conflict, {{"error", "overtaken by a newer order"}});
     }
@@ -220,10 +220,10 @@
   awaitable<bool> fetch_weights(std::string location) {
     if (location.empty()) co_return true;
     auto const slash = location.find('/');
-    auto const where = parse_endpoint(location.substr(0, slash));
-    if (!where || slash == std::string::npos) co_return false;
+    auto const address = parse_endpoint(location.substr(0, slash));
+    if (!address || slash == std::string::npos) co_return false;
     auto message = http::make_get(location.substr(slash));
-    auto fetched = co_await client_.exchange(*where, std::move(message), milliseconds(5000));
+    auto fetched = co_await client_.exchange(*address, std::move(message), milliseconds(5000));
     co_return fetched&& fetched.value().result() == http::status::ok;
   }
 
@@ -241,15 +241,15 @@
     return answer(http::status::too_many_requests, {{"error", "queue full"}, {"not_run", true}});
   }
 
-  bool takes(json::object const& body) const {
-    bool const fresh = static_cast<std::uint64_t>(json_number(body, "epoch")) >= model_.epoch();
-    return fresh && !faults_.leaving && model_.has_model(json_text(body, "model"));
+  bool accepts(json::object const& body) const {
+    bool const current = static_cast<std::uint64_t>(json_number(body, "epoch")) >= model_.epoch();
+    return current && !faults_.leaving && model_.has_model(json_text(body, "model"));
   }
 
   awaitable<bool> complete(http::request const& message, http::stream_writer& writer) {
     if (message.target() != "/v1/completions") co_return false;
     auto const body = parse_json_object(message.body());
-    if (!body || !takes(*body)) co_return false;
+    if (!body || !accepts(*body)) co_return false;
     generation_request request;
     request.id = json_text(*body, "request_id");
     request.model = json_text(*body, "model");
@@ -263,7 +263,7 @@
     auto stream = std::make_shared<open_stream>(context_);
     stream->interval = static_cast<std::uint32_t>(json_number(*body, "stream_interval", 1));
     streams_[id] = stream;
-    work_.notify_all();
+    work_available_.notify_all();
     journal_.write("admitted", {{"engine", settings_.id}, {"request", id}});
     co_await send_events(id, *stream, writer);
     model_.cancel(id);
@@ -313,7 +313,7 @@
   journal journal_;
   engine_model model_;
   http::client client_;
-  async_condition work_;
+  async_condition work_available_;
   std::uint64_t incarnation_;
   fault_settings faults_;
   std::deque<load_report> reports_;
@@ -341,11 +341,11 @@
 engine_group::~engine_group() = default;
 
 std::uint16_t engine_group::add(asio::io_context& context, options const& settings) {
-  auto one = std::make_unique<member>(context, settings);
-  if (!one->listener.listen(settings.listen).empty()) return 0;
-  one->engine.start();
-  std::uint16_t const port = one->listener.port();
-  members_.push_back(std::move(one));
+  auto added = std::make_unique<member>(context, settings);
+  if (!added->listener.listen(settings.listen).empty()) return 0;
+  added->engine.start();
+  std::uint16_t const port = added->listener.port();
+  members_.push_back(std::move(added));
   return port;
 }
 
--- a/src/standin/journal.h
+++ b/src/standin/journal.h
@@ -1,5 +1,5 @@
-/// @file Journals of the stand-ins: one JSON object a line, what an outside system saw. The checker
-/// judges by these, never by the node's own counters.
+/// @file Event journals of the stand-ins, one JSON object per line. The checker reads these instead
+/// of frostline's own counters.
 #pragma once
 
 #include <boost/json.hpp>
@@ -12,12 +12,12 @@
 
 class journal {
  public:
-  /// Appends to `path`; an empty path keeps no journal.
+  /// Appends to `path`; writes nothing if the path is empty.
   explicit journal(std::string const& path) {
     if (!path.empty()) file_.open(path, std::ios::app);
   }
 
-  /// Writes one line and flushes it, so that a kill loses nothing that was acknowledged.
+  /// Writes one line and flushes it, so that it survives a kill of the process.
   void write(std::string_view event, boost::json::object fields) {
     if (!file_.is_open()) return;
     fields["event"] = event;
--- a/src/standin/kv_server.cc
+++ b/src/standin/kv_server.cc
@@ -12,24 +12,25 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds k_expiry_tick{100};
+constexpr milliseconds k_tick_interval{100};
 constexpr milliseconds k_progress_interval{1000};
 
 json::object header(kv::revision revision) { return {{"revision", std::to_string(revision)}}; }
 
-/// Faults that `POST /faults` sets; absent fields stay as they are.
+/// Faults set by `POST /faults`; absent fields keep their values.
 struct fault_settings {
   time_point outage_until = time_point::min();
   std::int64_t lose_answers = 0;
   std::int64_t delay_ms = 0;
-  /// Transactions that write below this prefix take effect this much later.
+  /// Transactions that write below this prefix are slow.
   std::string slow_prefix;
+  /// Delay before slow transactions take effect.
   std::int64_t slow_ms = 0;
-  /// They take effect at once and are answered this much later.
+  /// Slow transactions take effect immediately but their responses are delayed by this.
   std::int64_t late_answer_ms = 0;
-  /// Watches deliver nothing until then.
-  time_point watches_held_until = time_point::min();
-  /// Reads are served as of this revision; 0 is off.
+  /// Watches deliver no events before this time.
+  time_point watches_paused_until = time_point::min();
+  /// Reads are served as of this revision; 0 disables the fault.
   kv::revision stale_revision = 0;
 };
 
@@ -42,7 +43,7 @@
         changed_(context_) {}
 
   int run() {
-    spawn(context_, tick());
+    spawn(context_, tick_loop());
     auto on_request = [this](http::request message) { return handle(std::move(message)); };
     auto on_stream = [this](http::request const& message, http::stream_writer& writer) {
       return watch(message, writer);
@@ -53,16 +54,16 @@
  private:
   bool in_outage() const { return boot_clock::now() < faults_.outage_until; }
 
-  awaitable<void> tick() {
-    bool was_out = false;
+  awaitable<void> tick_loop() {
+    bool was_in_outage = false;
     time_point next_progress = boot_clock::now();
     while (true) {
-      co_await wait_for(k_expiry_tick);
-      bool const out = in_outage();
-      if (was_out && !out) store_.extend_leases(boot_clock::now());
-      was_out = out;
+      co_await wait_for(k_tick_interval);
+      bool const outage = in_outage();
+      if (was_in_outage && !outage) store_.extend_leases(boot_clock::now());
+      was_in_outage = outage;
       kv::revision const before = store_.current_revision();
-      if (!out) store_.expire(boot_clock::now());
+      if (!outage) store_.expire(boot_clock::now());
       bool const progress_due = boot_clock::now() >= next_progress;
       if (progress_due) next_progress = boot_clock::now() + k_progress_interval;
       if (progress_due || store_.current_revision() != before) changed_.notify_all();
@@ -80,7 +81,7 @@
       co_return json_response(http::status::service_unavailable, {{"error", "unavailable"}});
     }
     if (!limiter_.allow(boot_clock::now())) {
-      ++limited_;
+      ++rate_limited_;
       co_return json_response(http::status::too_many_requests,
                               {{"code", 8}, {"error", "too many requests"}});
     }
@@ -108,7 +109,7 @@
     faults_.lose_answers = json_number(body, "lose_answers", faults_.lose_answers);
     faults_.delay_ms = json_number(body, "delay_ms", faults_.delay_ms);
     auto const hold = json_number(body, "hold_watches_ms", -1);
-    if (hold >= 0) faults_.watches_held_until = boot_clock::now() + milliseconds(hold);
+    if (hold >= 0) faults_.watches_paused_until = boot_clock::now() + milliseconds(hold);
     faults_.slow_prefix = json_text(body, "slow_prefix", faults_.slow_prefix);
     faults_.slow_ms = json_number(body, "slow_ms", faults_.slow_ms);
     faults_.late_answer_ms = json_number(body, "late_answer_ms", faults_.late_answer_ms);
@@ -125,7 +126,7 @@
   http::response stats() const {
     return json_response(http::status::ok, {{"revision", store_.current_revision()},
                                             {"operations", operations_},
-                                            {"limited", limited_},
+                                            {"limited", rate_limited_},
                                             {"slow_writes", slow_writes_}});
   }
 
@@ -164,9 +165,10 @@
   }
 
   bool is_slow_write(kv::transaction const& change) const {
-    return std::any_of(
-        change.on_success.begin(), change.on_success.end(),
-        [this](kv::operation const& one) { return one.key.starts_with(faults_.slow_prefix); });
+    return std::any_of(change.on_success.begin(), change.on_success.end(),
+                       [this](kv::operation const& operation) {
+                         return operation.key.starts_with(faults_.slow_prefix);
+                       });
   }
 
   awaitable<void> delay_slow_write(kv::transaction const& change) {
@@ -185,9 +187,9 @@
     for (json::value const& item : array_field(body, "success")) {
       if (auto const* put = object_field(item, "request_put")) {
         change.on_success.push_back(read_put(*put));
-      } else if (auto const* gone = object_field(item, "request_delete_range")) {
+      } else if (auto const* removal = object_field(item, "request_delete_range")) {
         change.on_success.push_back(
-            {kv::operation_kind::remove, kv::read_bytes(*gone, "key"), {}, 0});
+            {kv::operation_kind::remove, kv::read_bytes(*removal, "key"), {}, 0});
       }
     }
     for (json::value const& item : array_field(body, "failure")) {
@@ -198,23 +200,23 @@
     return change;
   }
 
-  http::response commit(kv::transaction const& change, bool losable) {
+  http::response commit(kv::transaction const& change, bool may_lose_answer) {
     auto const answer = store_.apply(change);
     if (!answer) {
       return json_response(http::status::not_found, {{"error", "requested lease not found"}});
     }
     if (answer->succeeded) {
-      for (auto const& one : change.on_success) {
+      for (auto const& operation : change.on_success) {
         journal_.write("write", {{"revision", answer->store_revision},
-                                 {"key", one.key},
-                                 {"removed", one.kind == kv::operation_kind::remove},
-                                 {"value", base64_encode(one.value)}});
+                                 {"key", operation.key},
+                                 {"removed", operation.kind == kv::operation_kind::remove},
+                                 {"value", base64_encode(operation.value)}});
       }
     }
     changed_.notify_all();
-    if (losable && answer->succeeded && faults_.lose_answers > 0) {
+    if (may_lose_answer && answer->succeeded && faults_.lose_answers > 0) {
       --faults_.lose_answers;
-      // The change has taken effect; the caller gets a broken answer instead of this one.
+      // The transaction is applied, but the caller gets a malformed response.
       return http::make_response(http::status::ok, "{", http::k_json);
     }
     json::array responses;
@@ -278,10 +280,10 @@
     if (!parsed) co_return false;
     json::value const body(*parsed);
     auto const* create = object_field(body, "create_request");
-    json::object const wanted = create == nullptr ? json::object{} : *create;
-    std::string const first = kv::read_bytes(wanted, "key");
-    std::string const last = kv::read_bytes(wanted, "range_end");
-    kv::revision next = kv::read_number(wanted, "start_revision");
+    json::object const create_options = create == nullptr ? json::object{} : *create;
+    std::string const key = kv::read_bytes(create_options, "key");
+    std::string const range_end = kv::read_bytes(create_options, "range_end");
+    kv::revision next = kv::read_number(create_options, "start_revision");
     if (!co_await writer.begin(http::make_response(http::status::ok, {}, http::k_json))) {
       co_return true;
     }
@@ -291,15 +293,15 @@
       co_await writer.finish();
       co_return true;
     }
-    co_await follow(writer, first, last, next);
+    co_await stream_events(writer, key, range_end, next);
     co_return true;
   }
 
-  awaitable<void> follow(http::stream_writer& writer, std::string first, std::string last,
-                         kv::revision next) {
+  awaitable<void> stream_events(http::stream_writer& writer, std::string key, std::string range_end,
+                                kv::revision next) {
     while (!in_outage() && !writer.peer_gone()) {
-      while (boot_clock::now() < faults_.watches_held_until) co_await wait_for(k_expiry_tick);
-      std::string line = events_line(store_.events_since(first, last, next));
+      while (boot_clock::now() < faults_.watches_paused_until) co_await wait_for(k_tick_interval);
+      std::string line = events_line(store_.events_since(key, range_end, next));
       next = store_.current_revision() + 1;
       bool const sent = co_await writer.write(std::move(line));
       if (!sent) co_return;
@@ -315,7 +317,7 @@
   kv_store store_;
   fault_settings faults_;
   std::uint64_t operations_ = 0;
-  std::uint64_t limited_ = 0;
+  std::uint64_t rate_limited_ = 0;
   std::uint64_t slow_writes_ = 0;
 };
 
--- a/src/standin/kv_store.cc
+++ b/src/standin/kv_store.cc
@@ -33,26 +33,27 @@
   return state;
 }
 
-bool kv_store::holds(kv::compare const& condition) const {
+bool kv_store::matches(kv::compare const& condition) const {
   auto const found = entries_.find(condition.key);
   kv::revision const actual = found == entries_.end() ? 0 : found->second.mod_revision;
   return actual == condition.mod_revision;
 }
 
 std::optional<kv::transaction_answer> kv_store::apply(kv::transaction const& change) {
-  for (kv::operation const& one : change.on_success) {
-    if (one.lease != 0 && !leases_.contains(one.lease)) return std::nullopt;
+  for (kv::operation const& operation : change.on_success) {
+    if (operation.lease != 0 && !leases_.contains(operation.lease)) return std::nullopt;
   }
   kv::transaction_answer answer;
-  answer.succeeded = std::all_of(change.compares.begin(), change.compares.end(),
-                                 [this](kv::compare const& one) { return holds(one); });
+  answer.succeeded =
+      std::all_of(change.compares.begin(), change.compares.end(),
+                  [this](kv::compare const& condition) { return matches(condition); });
   if (answer.succeeded) {
     if (!change.on_success.empty()) ++revision_;
-    for (kv::operation const& one : change.on_success) {
-      if (one.kind == kv::operation_kind::put) {
-        put(one);
+    for (kv::operation const& operation : change.on_success) {
+      if (operation.kind == kv::operation_kind::put) {
+        put(operation);
       } else {
-        remove(one.key);
+        remove(operation.key);
       }
     }
   } else {
@@ -98,25 +99,25 @@
 }
 
 void kv_store::revoke(kv::lease_id lease) {
-  if (leases_.erase(lease) > 0) drop_lease_keys(lease);
+  if (leases_.erase(lease) > 0) delete_lease_keys(lease);
 }
 
-void kv_store::drop_lease_keys(kv::lease_id lease) {
-  std::vector<std::string> bound;
+void kv_store::delete_lease_keys(kv::lease_id lease) {
+  std::vector<std::string> leased_keys;
   for (auto const& [name, entry] : entries_) {
-    if (entry.lease == lease) bound.push_back(name);
+    if (entry.lease == lease) leased_keys.push_back(name);
   }
-  if (bound.empty()) return;
+  if (leased_keys.empty()) return;
   ++revision_;
-  for (std::string const& key : bound) remove(key);
+  for (std::string const& key : leased_keys) remove(key);
 }
 
 void kv_store::expire(time_point now) {
-  std::vector<kv::lease_id> lapsed;
+  std::vector<kv::lease_id> expired;
   for (auto const& [lease, state] : leases_) {
-    if (state.expires <= now) lapsed.push_back(lease);
+    if (state.expires <= now) expired.push_back(lease);
   }
-  for (kv::lease_id lease : lapsed) revoke(lease);
+  for (kv::lease_id lease : expired) revoke(lease);
 }
 
 void kv_store::extend_leases(time_point now) {
--- a/src/standin/main.cc
+++ b/src/standin/main.cc
@@ -1,4 +1,4 @@
-/// @file frostline-standin: small stand-ins of the systems around frostline.
+/// @file frostline-standin: runs stand-ins of the systems around frostline.
 
 #include <gflags/gflags.h>
 
@@ -8,18 +8,19 @@
 #include "standin/options.h"
 
 DEFINE_string(id, "standin", "name of this machine in journals and answers");
-DEFINE_string(listen, "127.0.0.1:0", "IP:port to listen on; port 0 takes a free one");
+DEFINE_string(listen, "127.0.0.1:0", "IP:port to listen on; port 0 selects a free port");
 DEFINE_string(journal, "", "file to append the journal to");
 DEFINE_uint64(seed, 1, "seed of everything random");
-DEFINE_uint32(slots, 16, "engine: samples generated at once");
-DEFINE_uint32(step_us, 2000, "engine: step time without load, microseconds");
-DEFINE_uint32(step_us_per_sample, 50, "engine: added step time per running sample, microseconds");
-DEFINE_uint32(load_ms, 200, "engine: time to put loaded weights into force, milliseconds");
+DEFINE_uint32(slots, 16, "engine: samples generated concurrently");
+DEFINE_uint32(step_us, 2000, "engine: step duration without load, microseconds");
+DEFINE_uint32(step_us_per_sample, 50,
+              "engine: increase of the step duration per running sample, microseconds");
+DEFINE_uint32(load_ms, 200, "engine: time to activate fetched weights, milliseconds");
 DEFINE_uint32(report_lag_ms, 200, "engine: age of load reports, milliseconds");
-DEFINE_uint32(cache_tokens, 20000, "engine: tokens that the prefix cache holds");
-DEFINE_uint32(service_ms, 2, "app, scorer: time for an answer, milliseconds");
-DEFINE_uint32(rate_limit, 0, "kv, weights: requests a second; 0 for no limit");
-DEFINE_uint32(list_lag_ms, 0, "machines: age of the list that is served, milliseconds");
+DEFINE_uint32(cache_tokens, 20000, "engine: capacity of the prefix cache, tokens");
+DEFINE_uint32(service_ms, 2, "app, scorer: service time of a request, milliseconds");
+DEFINE_uint32(rate_limit, 0, "kv, weights: requests per second; 0 for no limit");
+DEFINE_uint32(list_lag_ms, 0, "machines: age of the returned list, milliseconds");
 
 namespace {
 
--- a/src/standin/options.h
+++ b/src/standin/options.h
@@ -1,4 +1,4 @@
-/// @file What a stand-in is started with.
+/// @file Options of the stand-ins.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,29 @@
   endpoint listen;
   std::string journal_path;
   std::uint64_t seed = 1;
-  /// engine: samples generated at once; app: requests served at once.
+  /// engine: samples generated concurrently; app: requests served concurrently.
   std::uint32_t slots = 16;
-  /// engine: time of one generation step without load, in microseconds.
+  /// engine: duration of a generation step without load, in microseconds.
   std::uint32_t step_us = 2000;
-  /// engine: added step time for each running sample, in microseconds.
+  /// engine: increase of the step duration per running sample, in microseconds.
   std::uint32_t step_us_per_sample = 50;
-  /// engine: time to put loaded weights into force.
+  /// engine: time to activate fetched weights.
   std::uint32_t load_ms = 200;
   /// engine: age of its load reports.
   std::uint32_t report_lag_ms = 200;
-  /// engine: time between two load reports that it keeps.
+  /// engine: interval of load reports.
   std::uint32_t report_interval_ms = 50;
-  /// engine: tokens of prompts that its prefix cache holds.
+  /// engine: capacity of the prefix cache, in tokens.
   std::uint32_t cache_tokens = 20'000;
-  /// app, scorer: time for an answer.
+  /// app, scorer: service time of a request.
   std::uint32_t service_ms = 2;
-  /// kv, weights: requests a second; 0 is no limit.
+  /// kv, weights: requests per second; 0 for no limit.
   std::uint32_t rate_limit = 0;
-  /// machines: age of the list that is served.
+  /// machines: age of the returned list.
   std::uint32_t list_lag_ms = 0;
 };
 
-/// Each runs until the process is ended. @return exit code.
+/// Each of these runs a stand-in until SIGTERM or SIGINT. @return exit code.
 int run_kv(options const& settings);
 int run_engine(options const& settings);
 int run_app(options const& settings);
--- a/src/standin/platform_servers.cc
+++ b/src/standin/platform_servers.cc
@@ -1,8 +1,8 @@
 /// @file Stand-ins of the machine list and of the weight store.
 ///
-/// Machine list: `GET /v1/machines` answers `{"machines": [{id, kind, address, gossip, zone, state,
-/// incarnation, slots}]}` as of the lag ago,
-/// with an ETag; `POST /v1/machines` adds or replaces one machine.
+/// Machine list: `GET /v1/machines` returns `{"machines": [{id, kind, address, gossip, zone, state,
+/// incarnation, slots}]}` as of `list_lag_ms` ago, with an ETag; `POST /v1/machines` adds or
+/// replaces one machine.
 
 #include <deque>
 #include <map>
@@ -30,7 +30,7 @@
  private:
   struct snapshot {
     std::uint64_t number = 0;
-    time_point taken;
+    time_point recorded_at;
     std::map<std::string, json::object> machines;
   };
 
@@ -44,15 +44,15 @@
     if (id.empty()) co_return json_response(http::status::bad_request, {{"error", "no id"}});
     snapshot next = snapshots_.back();
     ++next.number;
-    next.taken = boot_clock::now();
+    next.recorded_at = boot_clock::now();
     next.machines[id] = *body;
     snapshots_.push_back(std::move(next));
     co_return empty_ok();
   }
 
   http::response list(http::request const& message) {
-    time_point const cut = boot_clock::now() - milliseconds(settings_.list_lag_ms);
-    while (snapshots_.size() > 1 && snapshots_[1].taken <= cut) snapshots_.pop_front();
+    time_point const cutoff = boot_clock::now() - milliseconds(settings_.list_lag_ms);
+    while (snapshots_.size() > 1 && snapshots_[1].recorded_at <= cutoff) snapshots_.pop_front();
     std::string const tag = "\"" + std::to_string(snapshots_.front().number) + "\"";
     if (http::header(message, "If-None-Match") == tag) {
       return http::make_response(http::status::not_modified, {}, http::k_json);
--- a/src/standin/service.h
+++ b/src/standin/service.h
@@ -1,4 +1,4 @@
-/// @file What all stand-ins share: an HTTP listener, SIGTERM, a rate limit, `POST /faults`.
+/// @file Common parts of the stand-ins: HTTP listener, signal handling and rate limiter.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -12,7 +12,7 @@
 
 namespace frostline::standin {
 
-/// Token bucket over the steady clock.
+/// Token bucket that holds the tokens of one second at most.
 class rate_limiter {
  public:
   explicit rate_limiter(std::uint32_t per_second) : per_second_(per_second), tokens_(per_second) {}
@@ -37,7 +37,7 @@
 
 inline http::response empty_ok() { return json_response(http::status::ok, {}); }
 
-/// Listens, prints the address, runs until SIGTERM or SIGINT.
+/// Listens, prints the address, and serves until SIGTERM or SIGINT. @return exit code.
 inline int serve(asio::io_context& context, options const& settings, http::handler on_request,
                  http::stream_handler on_stream = nullptr) {
   http::server_limits limits;
--- a/tests/unit/standin/engine_model_test.cc
+++ b/tests/unit/standin/engine_model_test.cc
@@ -26,14 +26,14 @@
   CHECK(running == std::set<std::string>({"high", "low"}));
 }
 
-TEST(engine_model_test, versions_change_in_the_middle_of_a_sample) {
+TEST(engine_model_test, version_changes_within_a_sample) {
   submit("s", 0);
   LONGS_EQUAL(1, engine.step().front().version);
   engine.set_version("m", 2);
   LONGS_EQUAL(2, engine.step().front().version);
 }
 
-TEST(engine_model_test, resumed_sample_ends_where_the_first_would_have) {
+TEST(engine_model_test, resumed_sample_has_the_same_length) {
   std::uint32_t const length = sample_length("prompt", 0, 64, 1);
   submit("s", 0, length - 1);
   CHECK(engine.step().front().finished);
@@ -59,7 +59,7 @@
   CHECK(lengths.back() <= 2000);
 }
 
-TEST(engine_model_test, cache_forgets_the_least_recent_prompt) {
+TEST(engine_model_test, cache_evicts_the_least_recently_used_prompt) {
   prefix_cache cache(10);
   CHECK_FALSE(cache.touch("a", 4));
   CHECK_FALSE(cache.touch("b", 4));
--- a/tests/unit/standin/kv_store_test.cc
+++ b/tests/unit/standin/kv_store_test.cc
@@ -19,7 +19,7 @@
   }
 };
 
-TEST(kv_store_test, compare_and_swap_lets_one_win) {
+TEST(kv_store_test, compare_and_swap_fails_on_stale_revision) {
   CHECK(put("k", "one", 0).succeeded);
   auto const lost = put("k", "two", 0);
   CHECK_FALSE(lost.succeeded);
@@ -27,7 +27,7 @@
   CHECK(put("k", "three", lost.read.front().mod_revision).succeeded);
 }
 
-TEST(kv_store_test, lapsed_lease_takes_its_keys_along) {
+TEST(kv_store_test, expired_lease_deletes_its_keys) {
   auto const lease = store.grant(seconds(5), now);
   put("k", "v", 0, lease);
   store.expire(now + seconds(4));
@@ -37,7 +37,7 @@
   LONGS_EQUAL(0, store.keep_alive(lease, now));
 }
 
-TEST(kv_store_test, history_gives_old_states_and_watches) {
+TEST(kv_store_test, history_serves_past_states_and_watches) {
   put("a", "1", 0);
   auto const middle = store.current_revision();
   put("a", "2", middle);
@@ -47,7 +47,7 @@
   LONGS_EQUAL(1, store.events_since("a", "b", 0).size());
 }
 
-TEST(kv_store_test, unknown_lease_is_refused) {
+TEST(kv_store_test, transaction_with_unknown_lease_is_rejected) {
   kv::transaction change;
   change.on_success = {{kv::operation_kind::put, "k", "v", 42}};
   CHECK_FALSE(store.apply(change).has_value());
