--- a/src/load/arrivals.h
+++ b/src/load/arrivals.h
@@ -1,5 +1,4 @@
-/// @file When callers call, and what: drawn from a seed, or read from a recorded trace. Pure but
-/// for the files.
+/// @file Arrival times and contents of calls, drawn from a seed or read from a recorded trace.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +12,11 @@
 
 /// One call of a trace.
 struct arrival {
-  /// Since the start of the run.
+  /// Time since the start of the run.
   std::chrono::microseconds offset{0};
-  /// Whether the call must not run twice.
-  bool single = false;
-  /// Content that the caller sends.
+  /// True if the call must not run twice.
+  bool at_most_once = false;
+  /// Amount that the call's body carries.
   std::uint64_t amount = 0;
 
   bool operator==(arrival const&) const = default;
@@ -29,14 +28,14 @@
   double calls_per_second = 100;
   milliseconds duration{10'000};
   /// Share of calls that must not run twice.
-  double single_share = 0.3;
+  double at_most_once_share = 0.3;
   std::uint64_t seed = 1;
 };
 
-/// Poisson arrivals; the same options give the same trace.
+/// Draws Poisson arrivals; the same options give the same trace.
 trace draw_arrivals(arrival_options const& options);
 
-/// Writes one JSON object a line. @return whether the file was written.
+/// Writes one JSON object per line. @return false if the file could not be written.
 bool write_trace(std::string const& path, trace const& calls);
 /// @return nothing if the file can't be read or a line is malformed.
 std::optional<trace> read_trace(std::string const& path);
--- a/src/load/callers.cc
+++ b/src/load/callers.cc
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr milliseconds k_call_timeout{5000};
-constexpr milliseconds k_retry_pause{50};
-constexpr milliseconds k_poll{10};
+constexpr milliseconds k_retry_delay{50};
+constexpr milliseconds k_poll_interval{10};
 
-/// Whether the answer is the one to this very request.
-bool answers_request(boost::json::object const& echo, std::string const& target,
-                     std::string const& key, std::string const& body) {
+/// Returns true if the echoed fields are those of this request.
+bool echoes_request(boost::json::object const& echo, std::string const& target,
+                    std::string const& key, std::string const& body) {
   auto const* hash = echo.if_contains("body_hash");
   boost::system::error_code failure;
   bool const same_body =
@@ -39,35 +39,35 @@
       client_(context),
       journal_(options_.journal_path) {}
 
-bool callers::is_told_to_stop() const {
-  // Looked at every so many calls: the file system is not asked for each.
-  constexpr std::uint64_t k_calls_between_looks = 16;
-  if (options_.stop_file.empty() || report_.calls % k_calls_between_looks != 0) return false;
+bool callers::stop_requested() const {
+  // Only checked once per several calls, to avoid a file system access per call.
+  constexpr std::uint64_t k_calls_between_checks = 16;
+  if (options_.stop_file.empty() || report_.calls % k_calls_between_checks != 0) return false;
   return boost::filesystem::exists(options_.stop_file);
 }
 
-callers::one_call callers::make_request(arrival const& when) {
-  one_call call;
+callers::outgoing_call callers::make_request(arrival const& planned) {
+  outgoing_call call;
   call.number = report_.calls++;
-  call.single = when.single;
+  call.at_most_once = planned.at_most_once;
   call.key = "call-" + std::to_string(options_.seed) + "-" + std::to_string(call.number);
-  call.target = (call.single ? options_.single_path : options_.repeatable_path) +
+  call.target = (call.at_most_once ? options_.at_most_once_path : options_.repeatable_path) +
                 "?n=" + std::to_string(call.number);
-  if (call.single) call.body = "amount=" + std::to_string(when.amount);
+  if (call.at_most_once) call.body = "amount=" + std::to_string(planned.amount);
   return call;
 }
 
 awaitable<caller_report> callers::run() {
   time_point const begin = boot_clock::now();
   boot_timer timer(context_);
-  for (arrival const& when : options_.calls) {
-    timer.expires_at(begin + when.offset);
+  for (arrival const& planned : options_.calls) {
+    timer.expires_at(begin + planned.offset);
     co_await timer.async_wait(k_as_tuple);
-    if (is_told_to_stop()) break;
-    ++open_;
-    spawn(context_, make_call(make_request(when)));
+    if (stop_requested()) break;
+    ++in_flight_;
+    spawn(context_, make_call(make_request(planned)));
   }
-  while (open_ > 0) co_await wait_for(k_poll);
+  while (in_flight_ > 0) co_await wait_for(k_poll_interval);
   report_.p50_ms = percentile(latencies_ms_, 0.5);
   report_.p99_ms = percentile(latencies_ms_, 0.99);
   journal_.write("finished", {{"calls", report_.calls},
@@ -77,36 +77,37 @@
   co_return report_;
 }
 
-awaitable<void> callers::make_call(one_call call) {
+awaitable<void> callers::make_call(outgoing_call call) {
   time_point const begin = boot_clock::now();
   attempt_result outcome = attempt_result::try_again;
-  for (std::uint32_t number = 0; number < options_.most_attempts; ++number) {
+  for (std::uint32_t number = 0; number < options_.max_attempts; ++number) {
     outcome = co_await attempt(call, number);
     if (outcome != attempt_result::try_again) break;
-    co_await wait_for(k_retry_pause);
+    co_await wait_for(k_retry_delay);
   }
   std::chrono::duration<double, std::milli> const took = boot_clock::now() - begin;
   if (outcome == attempt_result::answered) {
     latencies_ms_.push_back(took.count());
     ++report_.answered;
   } else {
-    ++report_.given_up;
+    ++report_.abandoned;
   }
-  --open_;
+  --in_flight_;
 }
 
-awaitable<callers::attempt_result> callers::attempt(one_call const& call, std::uint32_t number) {
-  endpoint const where = options_.nodes[(call.number + number) % options_.nodes.size()];
-  http::request message(call.single ? http::verb::post : http::verb::get, call.target, 11);
+awaitable<callers::attempt_result> callers::attempt(outgoing_call const& call,
+                                                    std::uint32_t number) {
+  endpoint const node = options_.nodes[(call.number + number) % options_.nodes.size()];
+  http::request message(call.at_most_once ? http::verb::post : http::verb::get, call.target, 11);
   message.set("Idempotency-Key", call.key);
   message.body() = call.body;
-  auto answer = co_await client_.exchange(where, std::move(message), k_call_timeout);
-  if (answer) co_return judge(call, number, answer.value());
+  auto answer = co_await client_.exchange(node, std::move(message), k_call_timeout);
+  if (answer) co_return record_answer(call, number, answer.value());
   bool const refused = answer.error() == http::errc::connect_failed;
   journal_.write("attempt", {{"key", call.key},
-                             {"single", call.single},
+                             {"single", call.at_most_once},
                              {"number", number},
-                             {"node", where.to_string()},
+                             {"node", node.to_string()},
                              {"status", 0},
                              {"run_state", refused ? "not_run" : "unknown"},
                              {"cut", !refused},
@@ -114,23 +115,24 @@
   co_return attempt_result::try_again;
 }
 
-callers::attempt_result callers::judge(one_call const& call, std::uint32_t number,
-                                       http::response const& answer) {
+callers::attempt_result callers::record_answer(outgoing_call const& call, std::uint32_t number,
+                                               http::response const& answer) {
   auto const body = parse_json_object(answer.body());
-  bool const good = answer.result() == http::status::ok;
-  bool const right = !good || (body && answers_request(*body, call.target, call.key, call.body));
-  std::string const state = good ? "ran" : (body ? json_text(*body, "run_state") : "unknown");
+  bool const succeeded = answer.result() == http::status::ok;
+  bool const matches =
+      !succeeded || (body && echoes_request(*body, call.target, call.key, call.body));
+  std::string const state = succeeded ? "ran" : (body ? json_text(*body, "run_state") : "unknown");
   journal_.write("attempt", {{"key", call.key},
-                             {"single", call.single},
+                             {"single", call.at_most_once},
                              {"number", number},
                              {"status", answer.result_int()},
                              {"reason", body ? json_text(*body, "title") : ""},
                              {"run_state", state},
                              {"cut", false},
-                             {"right", right}});
-  if (good) return attempt_result::answered;
+                             {"right", matches}});
+  if (succeeded) return attempt_result::answered;
   bool const claimed = answer.result() == http::status::conflict;
-  return claimed ? attempt_result::give_up : attempt_result::try_again;
+  return claimed ? attempt_result::abandon : attempt_result::try_again;
 }
 
 }  // namespace frostline::load
--- a/src/load/callers.h
+++ b/src/load/callers.h
@@ -1,5 +1,5 @@
-/// @file Ordinary callers: an open stream of calls over keep-alive connections, some of which must
-/// not run twice and are asked again through another node when their outcome is unknown.
+/// @file Open-loop load of ordinary calls over keep-alive connections. Calls that fail are retried
+/// through another node, including those that must not run twice.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +16,22 @@
 
 struct caller_options {
   std::vector<endpoint> nodes;
-  /// When to call, and what.
+  /// Arrival times and contents of the calls.
   trace calls;
   std::string repeatable_path = "/lookup/price";
-  std::string single_path = "/bid/lot";
-  std::uint32_t most_attempts = 4;
-  /// No call is made once this file is there; empty for none.
+  std::string at_most_once_path = "/bid/lot";
+  std::uint32_t max_attempts = 4;
+  /// The run ends early once this file exists; empty for none.
   std::string stop_file;
   std::string journal_path;
-  /// Makes the identifiers of this run's requests its own.
+  /// Part of all request identifiers, so that those of different runs differ.
   std::uint64_t seed = 1;
 };
 
 struct caller_report {
   std::uint64_t calls = 0;
   std::uint64_t answered = 0;
-  std::uint64_t given_up = 0;
+  std::uint64_t abandoned = 0;
   double p50_ms = 0;
   double p99_ms = 0;
 };
@@ -43,31 +43,32 @@
   awaitable<caller_report> run();
 
  private:
-  struct one_call {
+  struct outgoing_call {
     std::uint64_t number = 0;
-    bool single = false;
+    bool at_most_once = false;
     std::string key;
     std::string target;
     std::string body;
   };
-  enum class attempt_result { answered, try_again, give_up };
+  enum class attempt_result { answered, try_again, abandon };
 
-  bool is_told_to_stop() const;
-  one_call make_request(arrival const& when);
-  awaitable<void> make_call(one_call call);
-  awaitable<attempt_result> attempt(one_call const& call, std::uint32_t number);
-  attempt_result judge(one_call const& call, std::uint32_t number, http::response const& answer);
+  bool stop_requested() const;
+  outgoing_call make_request(arrival const& planned);
+  awaitable<void> make_call(outgoing_call call);
+  awaitable<attempt_result> attempt(outgoing_call const& call, std::uint32_t number);
+  attempt_result record_answer(outgoing_call const& call, std::uint32_t number,
+                               http::response const& answer);
 
   asio::io_context& context_;
   caller_options options_;
   http::client client_;
   standin::journal journal_;
-  std::uint64_t open_ = 0;
+  std::uint64_t in_flight_ = 0;
   std::vector<double> latencies_ms_;
   caller_report report_;
 };
 
-/// Value below which `share` of the values lie; 0 for none.
+/// Returns the value at quantile `share` (0 to 1); 0 if `values` is empty.
 double percentile(std::vector<double> values, double share);
 
 }  // namespace frostline::load
--- a/src/load/checker.cc
+++ b/src/load/checker.cc
@@ -29,11 +29,11 @@
   auto operator<=>(sample_id const&) const = default;
 };
 
-std::uint64_t number(json::object const& event, std::string_view key) {
+std::uint64_t unsigned_field(json::object const& event, std::string_view key) {
   return static_cast<std::uint64_t>(json_number(event, key));
 }
 
-double real(json::object const& event, std::string_view key) {
+double number_or_zero(json::object const& event, std::string_view key) {
   auto const* found = event.if_contains(key);
   return found != nullptr && found->is_number() ? found->to_number<double>() : 0;
 }
@@ -46,22 +46,22 @@
     std::string line;
     while (std::getline(lines, line)) {
       auto event = parse_json_object(line);
-      // The last line of a killed process may be torn.
+      // A killed process may leave an incomplete last line.
       if (event) events.push_back(std::move(*event));
     }
   }
   return events;
 }
 
-/// What was published for a task, by the revision at which the store took it.
+/// Published versions of each task, by store revision.
 class publication_history {
  public:
-  void take(json::object const& write) {
+  void add(json::object const& write) {
     std::string const key = json_text(write, "key");
     if (!key.starts_with(config::k_versions)) return;
     auto const value = base64_decode(json_text(write, "value"));
     auto const record = value ? rpc::decode<rpc::VersionRecordT>(*value) : std::nullopt;
-    if (record) versions_[record->task][number(write, "revision")] = record->version;
+    if (record) versions_[record->task][unsigned_field(write, "revision")] = record->version;
   }
 
   std::uint64_t published_at(std::string const& task, std::uint64_t revision) const {
@@ -85,15 +85,16 @@
   auto const* list = sample.if_contains("spans");
   if (list == nullptr || !list->is_array()) return spans;
   for (json::value const& item : list->as_array()) {
-    spans.push_back({number(item.as_object(), "version"), number(item.as_object(), "tokens")});
+    spans.push_back(
+        {unsigned_field(item.as_object(), "version"), unsigned_field(item.as_object(), "tokens")});
   }
   return spans;
 }
 
-/// Compares the declared spans with what the engines wrote into the text itself: each token names
-/// the version that made it and proves which prompt, sample and position it belongs to.
-bool has_true_versions(json::object const& sample, std::string const& prompt) {
-  auto const index = static_cast<std::uint32_t>(number(sample, "index"));
+/// Compares the declared spans with the generated text: each token holds the version that generated
+/// it and a hash of its prompt, sample and position.
+bool has_correct_versions(json::object const& sample, std::string const& prompt) {
+  auto const index = static_cast<std::uint32_t>(unsigned_field(sample, "index"));
   std::istringstream words(json_text(sample, "text"));
   std::uint32_t position = 0;
   std::string word;
@@ -115,10 +116,10 @@
   check_report run() {
     event_list const events = read_events(options_.folder);
     for (json::object const& event : events) collect(event);
-    for (json::object const* sample : samples_) judge_sample(*sample);
-    judge_totals();
-    judge_calls();
-    judge_leaving();
+    for (json::object const* sample : samples_) check_sample(*sample);
+    check_totals();
+    check_calls();
+    check_leaving();
     return report_;
   }
 
@@ -131,46 +132,46 @@
     if (kind == "attempt") attempts_.push_back(&event);
     if (kind == "request") requests_.push_back(&event);
     if (kind == "admitted") admissions_.push_back(&event);
-    if (kind == "leaving") leaving_[json_text(event, "backend")] = number(event, "at_ms");
-    if (kind == "finished") collect_end(event);
+    if (kind == "leaving") leaving_[json_text(event, "backend")] = unsigned_field(event, "at_ms");
+    if (kind == "finished") collect_finish(event);
   }
 
   void collect_write(json::object const& event) {
-    history_.take(event);
+    history_.add(event);
     if (!json_text(event, "key").starts_with(config::k_tasks)) return;
     auto const value = base64_decode(json_text(event, "value"));
     auto const record = value ? rpc::decode<rpc::TaskRecordT>(*value) : std::nullopt;
-    if (record) bounds_[record->name] = record->freshness_bound;
+    if (record) freshness_bounds_[record->name] = record->freshness_bound;
   }
 
   void collect_submission(json::object const& event) {
     std::string const task = json_text(event, "task");
-    std::uint64_t const group = number(event, "group");
+    std::uint64_t const group = unsigned_field(event, "group");
     prompts_[{task, group, 0}] = json_text(event, "prompt");
-    for (std::uint64_t index = 0; index < number(event, "samples"); ++index) {
+    for (std::uint64_t index = 0; index < unsigned_field(event, "samples"); ++index) {
       requested_.insert({task, group, index});
     }
   }
 
-  void collect_end(json::object const& event) {
+  void collect_finish(json::object const& event) {
     if (event.contains("idle_seconds")) {
-      report_.trainer_idle_seconds += real(event, "idle_seconds");
+      report_.trainer_idle_seconds += number_or_zero(event, "idle_seconds");
       report_.trainers_finished = report_.trainers_finished && json_flag(event, "finished");
     }
     if (event.contains("p50_ms")) {
-      report_.caller_p50_ms = real(event, "p50_ms");
-      report_.caller_p99_ms = real(event, "p99_ms");
+      report_.caller_p50_ms = number_or_zero(event, "p50_ms");
+      report_.caller_p99_ms = number_or_zero(event, "p99_ms");
     }
   }
 
-  void judge_sample(json::object const& sample) {
+  void check_sample(json::object const& sample) {
     std::string const task = json_text(sample, "task");
-    sample_id const id{task, number(sample, "group"), number(sample, "index")};
+    sample_id const id{task, unsigned_field(sample, "group"), unsigned_field(sample, "index")};
     if (!delivered_.insert(id).second) ++report_.samples_duplicated;
     if (!json_flag(sample, "scored")) ++report_.samples_unscored;
     auto const prompt = prompts_.find({task, id.group, 0});
     bool const known = prompt != prompts_.end();
-    if (!known || !has_true_versions(sample, prompt->second)) {
+    if (!known || !has_correct_versions(sample, prompt->second)) {
       ++report_.samples_with_wrong_versions;
     }
     auto const spans = declared_spans(sample);
@@ -180,13 +181,13 @@
       return left.version < right.version;
     };
     std::uint64_t const oldest = std::min_element(spans.begin(), spans.end(), by_version)->version;
-    std::uint64_t const published = history_.published_at(task, number(sample, "revision"));
+    std::uint64_t const published = history_.published_at(task, unsigned_field(sample, "revision"));
     std::uint64_t const age = published > oldest ? published - oldest : 0;
     staleness_sum_ += static_cast<double>(age);
-    if (age > bounds_[task]) ++report_.samples_over_bound;
+    if (age > freshness_bounds_[task]) ++report_.samples_over_bound;
   }
 
-  void judge_totals() {
+  void check_totals() {
     report_.samples_requested = requested_.size();
     report_.samples_delivered = delivered_.size();
     for (sample_id const& id : requested_) {
@@ -197,11 +198,11 @@
     }
   }
 
-  void judge_calls() {
+  void check_calls() {
     std::map<std::string, std::uint64_t> runs;
     for (json::object const* request : requests_) {
-      bool const single = json_text(*request, "method") == "POST";
-      if (single) ++runs[json_text(*request, "key")];
+      bool const at_most_once = json_text(*request, "method") == "POST";
+      if (at_most_once) ++runs[json_text(*request, "key")];
     }
     std::map<std::string, std::uint64_t> may_have_run;
     std::set<std::string> keys;
@@ -219,11 +220,11 @@
     }
   }
 
-  void judge_leaving() {
+  void check_leaving() {
     auto const late = [this](json::object const& event, std::string_view key) {
       auto const left = leaving_.find(json_text(event, key));
       if (left == leaving_.end()) return false;
-      return number(event, "at_ms") > left->second + options_.leaving_limit_ms;
+      return unsigned_field(event, "at_ms") > left->second + options_.leaving_limit_ms;
     };
     for (json::object const* event : admissions_) {
       if (late(*event, "engine")) ++report_.sent_after_leaving;
@@ -236,7 +237,7 @@
   check_options options_;
   check_report report_;
   publication_history history_;
-  std::map<std::string, std::uint32_t> bounds_;
+  std::map<std::string, std::uint32_t> freshness_bounds_;
   std::set<sample_id> requested_;
   std::set<sample_id> delivered_;
   std::map<sample_id, std::string> prompts_;
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -1,5 +1,5 @@
-/// @file Independent verdict on a run, from the journals of trainers, engines, application servers,
-/// callers, operators and the key-value stand-in; frostline's own counters are not asked.
+/// @file Checks a run's properties by the journals of trainers, engines, application servers,
+/// callers, operators and the key-value stand-in, independently of frostline's own counters.
 #pragma once
 
 #include <boost/json.hpp>
@@ -30,7 +30,7 @@
   double caller_p99_ms = 0;
   bool trainers_finished = true;
 
-  /// Whether every property holds.
+  /// Returns true if every property holds.
   bool is_good() const;
   boost::json::object to_json() const;
 };
@@ -38,7 +38,7 @@
 struct check_options {
   /// Folder with the journals (*.jsonl).
   std::string folder;
-  /// Time after which a leaving back end must get nothing new.
+  /// Time after which a leaving backend must not receive new requests.
   std::uint64_t leaving_limit_ms = 3000;
 };
 
--- a/src/load/hollow.cc
+++ b/src/load/hollow.cc
@@ -23,9 +23,9 @@
 namespace json = boost::json;
 
 constexpr rlim_t k_open_files = 65'536;
-constexpr milliseconds k_announce_timeout{10'000};
+constexpr milliseconds k_register_timeout{10'000};
 
-/// Hundreds of nodes need more sockets than a process usually may open.
+/// Hundreds of nodes need more sockets than the default limit allows.
 void raise_file_limit() {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -50,24 +50,25 @@
   return size;
 }
 
-bool announce(rpc::blocking_client& client, endpoint const& list, json::object const& machine) {
+bool register_machine(rpc::blocking_client& client, endpoint const& list,
+                      json::object const& machine) {
   auto const answer =
       client.exchange(list, http::make_post("/v1/machines", json::serialize(machine), http::k_json),
-                      k_announce_timeout);
+                      k_register_timeout);
   return answer && answer.value().result() == http::status::ok;
 }
 
-/// A port of `address` that is free now and was not given before.
+/// Returns a free port of `address` that was not returned before.
 endpoint free_endpoint(asio::io_context& context, std::string const& address) {
-  static std::set<endpoint> given;
+  static std::set<endpoint> allocated;
   while (true) {
     tcp::acceptor probe(context, tcp::endpoint(asio::ip::make_address(address), 0));
     endpoint found{address, probe.local_endpoint().port()};
-    if (given.insert(found).second) return found;
+    if (allocated.insert(found).second) return found;
   }
 }
 
-struct spread {
+struct value_range {
   std::uint64_t sum = 0;
   std::uint64_t lowest = std::numeric_limits<std::uint64_t>::max();
   std::uint64_t highest = 0;
@@ -80,18 +81,18 @@
 };
 
 json::object report(std::vector<std::unique_ptr<node::node>> const& nodes) {
-  spread gossip_sent;
-  spread gossip_received;
-  spread http_sent;
-  spread http_received;
-  spread kv_operations;
-  spread revision;
-  spread alive;
-  spread controlled;
-  spread ready;
+  value_range gossip_sent;
+  value_range gossip_received;
+  value_range http_sent;
+  value_range http_received;
+  value_range kv_operations;
+  value_range revision;
+  value_range alive;
+  value_range controlled;
+  value_range ready;
   std::uint64_t serving = 0;
-  for (auto const& one : nodes) {
-    node::node_counters const counters = one->counters();
+  for (auto const& emulated : nodes) {
+    node::node_counters const counters = emulated->counters();
     gossip_sent.add(counters.gossip_bytes_sent);
     gossip_received.add(counters.gossip_bytes_received);
     http_sent.add(counters.http_bytes_sent);
@@ -121,45 +122,45 @@
           {"engines_ready", ready.sum}};
 }
 
-node::settings node_settings(hollow_options const& options, std::uint32_t index,
+node::settings node_settings(emulation_options const& options, std::uint32_t index,
                              asio::io_context& context) {
-  node::settings all;
-  all.id = "node-" + std::to_string(options.first + index);
-  all.zone = options.zone;
-  all.listen = free_endpoint(context, options.control.address);
-  all.gossip = free_endpoint(context, options.control.address);
-  all.kv = {options.kv};
-  all.machines = options.machines;
+  node::settings settings;
+  settings.id = "node-" + std::to_string(options.first + index);
+  settings.zone = options.zone;
+  settings.listen = free_endpoint(context, options.control.address);
+  settings.gossip = free_endpoint(context, options.control.address);
+  settings.kv = {options.kv};
+  settings.machines = options.machines;
   bool const disk = !options.data_folder.empty() && index < options.disk_nodes;
-  if (disk) all.data_folder = options.data_folder + "/" + all.id;
-  return all;
+  if (disk) settings.data_folder = options.data_folder + "/" + settings.id;
+  return settings;
 }
 
 }  // namespace
 
-int run_hollow_nodes(hollow_options const& options) {
+int run_emulated_nodes(emulation_options const& options) {
   raise_file_limit();
   asio::io_context context(1);
   rpc::blocking_client client;
   std::vector<std::unique_ptr<node::node>> nodes;
   for (std::uint32_t index = 0; index < options.count; ++index) {
-    node::settings const all = node_settings(options, index, context);
-    auto one = std::make_unique<node::node>(context, all);
-    std::string const failure = one->start();
+    node::settings const settings = node_settings(options, index, context);
+    auto emulated = std::make_unique<node::node>(context, settings);
+    std::string const failure = emulated->start();
     if (!failure.empty()) {
       std::cerr << "frostline-load hollow: " << failure << '\n';
       return 1;
     }
-    bool const listed = announce(client, options.machines,
-                                 {{"id", all.id},
-                                  {"kind", "node"},
-                                  {"zone", all.zone},
-                                  {"address", all.listen.to_string()},
-                                  {"gossip", all.gossip.to_string()},
-                                  {"state", "live"},
-                                  {"incarnation", 1}});
+    bool const listed = register_machine(client, options.machines,
+                                         {{"id", settings.id},
+                                          {"kind", "node"},
+                                          {"zone", settings.zone},
+                                          {"address", settings.listen.to_string()},
+                                          {"gossip", settings.gossip.to_string()},
+                                          {"state", "live"},
+                                          {"incarnation", 1}});
     if (!listed) return 1;
-    nodes.push_back(std::move(one));
+    nodes.push_back(std::move(emulated));
   }
   http::server control(context, {}, [&nodes](http::request) -> awaitable<http::response> {
     co_return json_response(http::status::ok, report(nodes));
@@ -169,7 +170,7 @@
   return 0;
 }
 
-int run_hollow_engines(hollow_options const& options) {
+int run_emulated_engines(emulation_options const& options) {
   raise_file_limit();
   asio::io_context context(1);
   rpc::blocking_client client;
@@ -183,14 +184,15 @@
     std::uint16_t const port = engines.add(context, settings);
     std::string const zone = "zone-" + std::to_string(index % options.zones);
     bool const listed =
-        port != 0 && announce(client, options.machines,
-                              {{"id", settings.id},
-                               {"kind", "engine"},
-                               {"zone", zone},
-                               {"address", endpoint{options.control.address, port}.to_string()},
-                               {"state", "live"},
-                               {"incarnation", 1},
-                               {"slots", options.slots}});
+        port != 0 &&
+        register_machine(client, options.machines,
+                         {{"id", settings.id},
+                          {"kind", "engine"},
+                          {"zone", zone},
+                          {"address", endpoint{options.control.address, port}.to_string()},
+                          {"state", "live"},
+                          {"incarnation", 1},
+                          {"slots", options.slots}});
     if (!listed) return 1;
   }
   http::server control(context, {}, [](http::request) -> awaitable<http::response> {
--- a/src/load/hollow.h
+++ b/src/load/hollow.h
@@ -1,5 +1,5 @@
-/// @file Hollow systems: many whole nodes, or many engines, in one process over real sockets, so
-/// that one machine can hold the control side of hundreds.
+/// @file The `hollow` commands: emulate large systems, with many complete nodes or many engines in
+/// one process over real sockets.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,31 @@
 
 namespace frostline::load {
 
-struct hollow_options {
+struct emulation_options {
   endpoint kv;
   endpoint machines;
-  /// Where this process answers `GET /report`; its nodes and engines take ports of that address,
-  /// which no other process should use.
+  /// Address that serves `GET /report`. The nodes and engines listen on other ports of its IP
+  /// address, which no other process should use.
   endpoint control;
   /// Nodes or engines in this process.
   std::uint32_t count = 1;
-  /// Number of the first, for names.
+  /// Number in the name of the first node or engine.
   std::uint32_t first = 0;
   std::string zone;
-  /// Zones over which engines are spread.
+  /// Zones that engines are spread over.
   std::uint32_t zones = 1;
-  /// Nodes with a data folder below this; empty for none.
+  /// Parent of the disk nodes' data folders; empty for none.
   std::string data_folder;
   std::uint32_t disk_nodes = 0;
-  /// Slots of an engine.
+  /// Slots per engine.
   std::uint32_t slots = 8;
 };
 
-/// Runs nodes until the process is ended. `GET /report` answers the sums, lowest and highest of
-/// their counters, and the CPU time of the thread that runs them. @return exit code.
-int run_hollow_nodes(hollow_options const& options);
+/// Runs nodes until the process is stopped. `GET /report` returns sums, minimums and maximums of
+/// their counters, and the CPU time of their thread. @return exit code.
+int run_emulated_nodes(emulation_options const& options);
 
-/// Runs engines until the process is ended. @return exit code.
-int run_hollow_engines(hollow_options const& options);
+/// Runs engines until the process is stopped. @return exit code.
+int run_emulated_engines(emulation_options const& options);
 
 }  // namespace frostline::load
--- a/src/load/simulator.cc
+++ b/src/load/simulator.cc
@@ -18,7 +18,7 @@
 using rollout::sample_key;
 using std::chrono::microseconds;
 
-/// A sample that an engine generates.
+/// A sample that an engine is generating.
 struct running_sample {
   rollout::work_item work;
   engines::span_list spans;
@@ -31,7 +31,7 @@
   explicit simulated_engine(std::uint32_t cache_tokens) : cache(cache_tokens) {}
 
   std::uint64_t version = 0;
-  std::uint64_t wanted = 0;
+  std::uint64_t target_version = 0;
   time_point paused_until = time_point::min();
   bool stepping = false;
   bool loading = false;
@@ -43,7 +43,7 @@
 
 struct event {
   time_point at;
-  /// Breaks ties in the order of creation, so that runs repeat exactly.
+  /// Orders simultaneous events by their creation, for reproducible runs.
   std::uint64_t number = 0;
   event_kind kind = event_kind::step;
   std::uint32_t engine = 0;
@@ -115,9 +115,10 @@
   void publish(std::uint64_t version) {
     published_ = version;
     for (std::uint32_t index = 0; index < engines_.size(); ++index) {
-      engines_[index].wanted = version;
-      bool const turn = options_.order == swap_order::all_at_once || index == 0 || version == 1;
-      if (turn) begin_load(index);
+      engines_[index].target_version = version;
+      bool const starts_now =
+          options_.order == swap_order::all_at_once || index == 0 || version == 1;
+      if (starts_now) begin_load(index);
     }
     if (options_.cancel_stale_runs) cancel_stale_runs();
     table_.drop_stale(published_, options_.freshness_bound);
@@ -125,7 +126,7 @@
 
   void begin_load(std::uint32_t index) {
     simulated_engine& engine = engines_[index];
-    if (engine.loading || engine.version == engine.wanted) return;
+    if (engine.loading || engine.version == engine.target_version) return;
     engine.loading = true;
     engine.paused_until = now_ + options_.load_time;
     schedule(event_kind::loaded, engine.paused_until, index);
@@ -135,9 +136,10 @@
     for (std::uint32_t index = 0; index < engines_.size(); ++index) {
       auto& running = engines_[index].running;
       for (auto at = running.begin(); at != running.end();) {
-        bool const fresh = at->spans.empty() || engines::is_within_bound(at->spans, published_,
-                                                                         options_.freshness_bound);
-        if (fresh) {
+        bool const within_bound =
+            at->spans.empty() ||
+            engines::is_within_bound(at->spans, published_, options_.freshness_bound);
+        if (within_bound) {
           ++at;
           continue;
         }
@@ -161,7 +163,7 @@
         break;
       case event_kind::restarted:
         views_[next.engine].slots = options_.slots;
-        engines_[next.engine].wanted = published_;
+        engines_[next.engine].target_version = published_;
         begin_load(next.engine);
         schedule_crash(next.engine);
         break;
@@ -178,8 +180,8 @@
   void loaded(std::uint32_t index) {
     simulated_engine& engine = engines_[index];
     engine.loading = false;
-    engine.version = engine.wanted;
-    engine.wanted = published_;
+    engine.version = engine.target_version;
+    engine.target_version = published_;
     begin_load(index);
     bool const rolls = options_.order == swap_order::rolling;
     if (rolls && index + 1 < engines_.size()) begin_load(index + 1);
@@ -188,11 +190,11 @@
   void crash(std::uint32_t index) {
     simulated_engine& engine = engines_[index];
     for (running_sample& sample : engine.running) {
-      rollout::partial_run rest{"", sample.spans};
+      rollout::partial_run partial{"", sample.spans};
       bool const usable =
           engines::is_within_bound(sample.spans, published_, options_.freshness_bound);
       if (usable || sample.spans.empty()) {
-        table_.interrupt(sample.work.key, sample.work.attempt, now_, std::move(rest));
+        table_.interrupt(sample.work.key, sample.work.attempt, now_, std::move(partial));
       } else {
         table_.restart(sample.work.key, sample.work.attempt);
       }
@@ -250,14 +252,14 @@
         ++at;
         continue;
       }
-      keep_finished(*at);
+      schedule_finish(*at);
       --views_[index].in_flight;
       at = engine.running.erase(at);
     }
     schedule_step(index);
   }
 
-  /// @return whether the sample has ended.
+  /// @return true if the sample is complete.
   bool generate(simulated_engine const& engine, running_sample& sample) {
     if (sample.prefill_steps > 0) {
       --sample.prefill_steps;
@@ -271,7 +273,7 @@
     return sample.position >= sample.length;
   }
 
-  void keep_finished(running_sample const& sample) {
+  void schedule_finish(running_sample const& sample) {
     rollout::finished_sample finished;
     finished.key = sample.work.key;
     finished.attempt = sample.work.attempt;
@@ -303,7 +305,7 @@
         entries.push_back({sample->key, sample->attempt, sample->spans, false,
                            table_.group_size(sample->key.group)});
         keys.push_back(sample->key);
-        note_delivered(*sample);
+        record_delivery(*sample);
       }
       ledger_.adopt(ledger_.plan_next(entries, published_, "identity"), ledger_.revision() + 1);
       table_.mark_delivered(keys);
@@ -311,7 +313,7 @@
     }
   }
 
-  void note_delivered(rollout::finished_sample const& sample) {
+  void record_delivery(rollout::finished_sample const& sample) {
     std::uint64_t const oldest = engines::oldest_version(sample.spans);
     staleness_.push_back(static_cast<double>(published_ - oldest));
     tokens_delivered_ += engines::token_count(sample.spans);
@@ -319,8 +321,8 @@
   }
 
   void check_step() {
-    bool const whole = received_[step_] >= groups_per_step() * options_.group_size;
-    if (training_ || !whole) return;
+    bool const complete = received_[step_] >= groups_per_step() * options_.group_size;
+    if (training_ || !complete) return;
     std::chrono::duration<double> const waited = now_ - waiting_since_;
     idle_seconds_ += waited.count();
     training_ = true;
@@ -342,26 +344,26 @@
   }
 
   simulation_report report() const {
-    simulation_report all;
+    simulation_report result;
     std::chrono::duration<double> const total = now_ - start_;
-    all.finished = done_;
-    all.total_seconds = total.count();
-    all.idle_seconds = idle_seconds_;
-    all.idle_share = all.total_seconds > 0 ? idle_seconds_ / all.total_seconds : 0;
-    all.samples = staleness_.size();
+    result.finished = done_;
+    result.total_seconds = total.count();
+    result.idle_seconds = idle_seconds_;
+    result.idle_share = result.total_seconds > 0 ? idle_seconds_ / result.total_seconds : 0;
+    result.samples = staleness_.size();
     double sum = 0;
-    for (double one : staleness_) sum += one;
-    all.staleness_mean = staleness_.empty() ? 0 : sum / static_cast<double>(staleness_.size());
-    all.staleness_p99 = percentile(staleness_, 0.99);
-    all.tokens_delivered = tokens_delivered_;
-    all.tokens_generated = tokens_generated_;
+    for (double staleness : staleness_) sum += staleness;
+    result.staleness_mean = staleness_.empty() ? 0 : sum / static_cast<double>(staleness_.size());
+    result.staleness_p99 = percentile(staleness_, 0.99);
+    result.tokens_delivered = tokens_delivered_;
+    result.tokens_generated = tokens_generated_;
     if (tokens_generated_ > 0) {
-      all.wasted_share =
+      result.wasted_share =
           1 - static_cast<double>(tokens_delivered_) / static_cast<double>(tokens_generated_);
     }
     double const prompts = static_cast<double>(cache_hits_ + cache_misses_);
-    all.cache_hit_share = prompts > 0 ? static_cast<double>(cache_hits_) / prompts : 0;
-    return all;
+    result.cache_hit_share = prompts > 0 ? static_cast<double>(cache_hits_) / prompts : 0;
+    return result;
   }
 
   simulation_options options_;
--- a/src/load/simulator.h
+++ b/src/load/simulator.h
@@ -1,6 +1,6 @@
-/// @file A model of engines, a trainer and one shard's owner in virtual time. It drives the same
-/// decision code as the node (sample table, placement, ledger, spans); only sockets are modelled.
-/// Pure: the same options give the same report.
+/// @file Discrete-event simulator of engines, a trainer and one shard's owner in virtual time. It
+/// uses the node's own code for decisions (sample table, placement, ledger, spans). The same
+/// options give the same report.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 namespace frostline::load {
 
-/// In which order engines take a new version.
+/// Order in which engines load a new version.
 enum class swap_order { all_at_once, rolling };
 
 struct simulation_options {
   std::uint32_t engines = 8;
   std::uint32_t slots = 16;
-  /// Time of one generation step without load, and added for each running sample.
+  /// Duration of a generation step without load, and its increase per running sample.
   std::chrono::microseconds step{20'000};
   std::chrono::microseconds step_per_sample{200};
-  /// Time for which an engine stands still to take new weights.
+  /// Time for which an engine pauses to load new weights.
   milliseconds load_time{2000};
   swap_order order = swap_order::all_at_once;
   std::uint32_t cache_tokens = 20'000;
@@ -35,17 +35,17 @@
   std::uint32_t steps_ahead = 1;
   milliseconds train_time{30'000};
   std::uint32_t freshness_bound = 1;
-  /// Time that scoring and storing a finished sample takes.
+  /// Time to score and store a finished sample.
   milliseconds finish_time{10};
 
   std::string placement = "prefix_affinity";
-  /// Whether runs that can't be delivered any more are cancelled as soon as that is known.
+  /// Cancels runs as soon as they are too stale to be delivered.
   bool cancel_stale_runs = true;
   /// Mean time between crashes of one engine; 0 for none.
   milliseconds mean_time_between_crashes{0};
   milliseconds restart_time{20'000};
   std::uint64_t seed = 1;
-  /// Gives up after this much virtual time.
+  /// The simulation stops after this much virtual time.
   milliseconds limit{8 * 3600 * 1000};
 };
 
@@ -53,7 +53,7 @@
   bool finished = false;
   double total_seconds = 0;
   double idle_seconds = 0;
-  /// Share of the time in which the trainer waits.
+  /// Share of the total time that the trainer waits for samples.
   double idle_share = 0;
   double staleness_mean = 0;
   double staleness_p99 = 0;
--- a/src/load/trainer.cc
+++ b/src/load/trainer.cc
@@ -10,7 +10,7 @@
 namespace json = boost::json;
 
 constexpr milliseconds k_call_timeout{10'000};
-constexpr milliseconds k_retry_pause{100};
+constexpr milliseconds k_retry_delay{100};
 constexpr std::uint32_t k_pull_wait_ms = 1000;
 
 json::array spans_to_json(rpc::SampleT const& sample) {
@@ -28,10 +28,10 @@
       options_(std::move(options)),
       client_(context),
       journal_(options_.journal_path),
-      received_(context),
-      deadline_(boot_clock::now() + options_.give_up_after) {}
+      batch_received_(context),
+      deadline_(boot_clock::now() + options_.timeout) {}
 
-bool trainer::is_told_to_stop() const {
+bool trainer::stop_requested() const {
   return !options_.stop_file.empty() && boost::filesystem::exists(options_.stop_file);
 }
 
@@ -43,7 +43,7 @@
   return std::max<std::uint64_t>(1, options_.samples_per_step / options_.group_size);
 }
 
-std::string trainer::prompt_of(std::uint64_t group) const {
+std::string trainer::make_prompt(std::uint64_t group) const {
   std::uint64_t const noise = hash_bytes(std::to_string(group), options_.seed);
   return "prompt " + std::to_string(options_.seed) + "/" + std::to_string(group) + " " +
          std::to_string(noise);
@@ -56,7 +56,7 @@
   if (!options_.weight_store.empty()) {
     request.weights = options_.weight_store + "/weights/" + std::to_string(version);
   }
-  while (!given_up()) {
+  while (!timed_out()) {
     auto answer = co_await rpc::call<rpc::PublishVersionRequestT, rpc::ChangeResponseT>(
         client_, next_node(), "OperatorService", "PublishVersion", request, k_call_timeout);
     if (answer && answer.value().outcome == rpc::ChangeOutcome::ACCEPTED) {
@@ -65,7 +65,7 @@
           {{"task", options_.task}, {"version", version}, {"revision", answer.value().revision}});
       co_return true;
     }
-    co_await wait_for(k_retry_pause);
+    co_await wait_for(k_retry_delay);
   }
   co_return false;
 }
@@ -79,7 +79,7 @@
   for (std::uint64_t group = first; group < first + groups_per_step(); ++group) {
     auto item = std::make_unique<rpc::SampleGroupT>();
     item->group = group;
-    item->prompt = prompt_of(group);
+    item->prompt = make_prompt(group);
     item->samples = options_.group_size;
     item->max_tokens = options_.max_tokens;
     journal_.write("submitted", {{"task", options_.task},
@@ -88,19 +88,19 @@
                                  {"samples", item->samples}});
     request.groups.push_back(std::move(item));
   }
-  while (!given_up()) {
+  while (!timed_out()) {
     auto answer = co_await rpc::call<rpc::SubmitGroupsRequestT, rpc::SubmitGroupsResponseT>(
         client_, next_node(), "TrainerService", "SubmitGroups", request, k_call_timeout);
     if (answer) {
       if (cursors_.empty()) cursors_.resize(answer.value().shards);
       co_return true;
     }
-    co_await wait_for(k_retry_pause);
+    co_await wait_for(k_retry_delay);
   }
   co_return false;
 }
 
-void trainer::take_batch(std::uint32_t shard, rpc::BatchT const& batch, std::uint64_t revision) {
+void trainer::record_batch(std::uint32_t shard, rpc::BatchT const& batch, std::uint64_t revision) {
   journal_.write("batch", {{"task", options_.task},
                            {"shard", shard},
                            {"number", batch.number},
@@ -122,9 +122,9 @@
     if (step < received_per_step_.size()) ++received_per_step_[step];
     ++report_.samples_received;
   }
-  // From here on the batch is durable.
+  // The batch is journaled, so the cursor may advance.
   cursors_[shard] = {batch.number, batch.identity};
-  received_.notify_all();
+  batch_received_.notify_all();
 }
 
 awaitable<void> trainer::pull_once(std::uint32_t shard) {
@@ -134,9 +134,9 @@
   request.cursor = cursors_[shard].batch;
   request.cursor_identity = cursors_[shard].identity;
   request.max_wait_ms = k_pull_wait_ms;
-  endpoint const where = next_node();
+  endpoint const node = next_node();
   auto answer = co_await rpc::call<rpc::PullBatchRequestT, rpc::PullBatchResponseT>(
-      client_, where, "TrainerService", "PullBatch", request, k_call_timeout);
+      client_, node, "TrainerService", "PullBatch", request, k_call_timeout);
   if (!answer) {
     rpc::problem const& issue = answer.error();
     if (issue.why == rpc::reason::superseded) ++report_.superseded_batches;
@@ -144,21 +144,21 @@
                                    {"cursor", request.cursor},
                                    {"reason", rpc::to_string(issue.why)},
                                    {"detail", issue.detail}});
-    co_await wait_for(std::max(issue.retry_after, k_retry_pause));
+    co_await wait_for(std::max(issue.retry_after, k_retry_delay));
   } else if (answer.value().batch) {
-    take_batch(shard, *answer.value().batch, answer.value().committed_revision);
+    record_batch(shard, *answer.value().batch, answer.value().committed_revision);
   }
 }
 
 awaitable<void> trainer::pull_loop(std::uint32_t shard) {
-  while (!done_ && !given_up()) co_await pull_once(shard);
+  while (!done_ && !timed_out()) co_await pull_once(shard);
 }
 
 awaitable<bool> trainer::wait_for_step(std::uint32_t step) {
   std::uint64_t const wanted = groups_per_step() * options_.group_size;
   time_point const begin = boot_clock::now();
-  while (received_per_step_[step] < wanted && !given_up()) {
-    co_await received_.wait_until(deadline_);
+  while (received_per_step_[step] < wanted && !timed_out()) {
+    co_await batch_received_.wait_until(deadline_);
   }
   std::chrono::duration<double> const waited = boot_clock::now() - begin;
   report_.idle_seconds += waited.count();
@@ -180,8 +180,8 @@
     if (!running) break;
     co_await wait_for(options_.train_time);
     ++report_.steps_done;
-    // What is submitted already is still waited for.
-    if (is_told_to_stop()) steps = std::min(steps, step + 1 + options_.steps_ahead);
+    // Steps that are already submitted are still waited for.
+    if (stop_requested()) steps = std::min(steps, step + 1 + options_.steps_ahead);
     if (step + 1 == steps) break;
     running = co_await publish(step + 2);
     bool const more = step + 1 + options_.steps_ahead < steps;
--- a/src/load/trainer.h
+++ b/src/load/trainer.h
@@ -1,5 +1,5 @@
-/// @file A trainer as frostline's callers write it: submits prompts, pulls batches with a durable
-/// cursor, publishes new versions, and journals what it saw.
+/// @file Trainer client for experiments: submits prompts, pulls batches with a durable cursor,
+/// publishes new versions, and journals what it receives.
 #pragma once
 
 #include <cstdint>
@@ -23,16 +23,16 @@
   std::uint32_t samples_per_step = 128;
   std::uint32_t group_size = 4;
   std::uint32_t max_tokens = 256;
-  /// Time that a step's training takes.
+  /// Duration of one training step.
   milliseconds train_time{500};
   /// Steps whose prompts are submitted ahead of the one being trained.
   std::uint32_t steps_ahead = 1;
   std::string journal_path;
   std::uint64_t seed = 1;
-  /// No step is begun once this file is there; empty for none.
+  /// No further step is started once this file exists; empty for none.
   std::string stop_file;
-  /// Time after which the trainer gives up.
-  milliseconds give_up_after{120'000};
+  /// Time limit of the whole run.
+  milliseconds timeout{120'000};
 };
 
 struct trainer_report {
@@ -48,7 +48,7 @@
  public:
   trainer(asio::io_context& context, trainer_options options);
 
-  /// Runs all steps.
+  /// Runs all steps, unless stopped earlier by the stop file or the timeout.
   awaitable<trainer_report> run();
 
  private:
@@ -61,23 +61,23 @@
   awaitable<bool> submit_step(std::uint32_t step);
   awaitable<void> pull_loop(std::uint32_t shard);
   awaitable<void> pull_once(std::uint32_t shard);
-  void take_batch(std::uint32_t shard, rpc::BatchT const& batch, std::uint64_t revision);
+  void record_batch(std::uint32_t shard, rpc::BatchT const& batch, std::uint64_t revision);
   awaitable<bool> wait_for_step(std::uint32_t step);
-  bool is_told_to_stop() const;
-  bool given_up() const { return boot_clock::now() >= deadline_; }
+  bool stop_requested() const;
+  bool timed_out() const { return boot_clock::now() >= deadline_; }
   endpoint const& next_node();
-  std::string prompt_of(std::uint64_t group) const;
+  std::string make_prompt(std::uint64_t group) const;
   std::uint64_t groups_per_step() const;
 
   asio::io_context& context_;
   trainer_options options_;
   http::client client_;
   standin::journal journal_;
-  async_condition received_;
+  async_condition batch_received_;
   time_point deadline_;
   std::size_t node_index_ = 0;
   std::vector<shard_cursor> cursors_;
-  /// By step; grows as steps are submitted.
+  /// Samples received, indexed by step.
   std::vector<std::uint64_t> received_per_step_;
   trainer_report report_;
   bool done_ = false;
--- a/tests/unit/load/checker_test.cc
+++ b/tests/unit/load/checker_test.cc
@@ -1,4 +1,4 @@
-/// @file The checker finds each broken property in journals that break just that one.
+/// @file The checker detects each violation in journals that contain only this one.
 
 #include "load/checker.h"
 
@@ -80,7 +80,7 @@
   }
 };
 
-TEST(checker_test, good_run_is_good) {
+TEST(checker_test, run_without_violations_passes) {
   deliver(3, 1, 1);
   attempt("ran");
   request("POST");
@@ -90,19 +90,19 @@
   LONGS_EQUAL(1, report.requests_made);
 }
 
-TEST(checker_test, missing_sample_is_lost) {
+TEST(checker_test, undelivered_sample_counts_as_lost) {
   LONGS_EQUAL(1, check().samples_lost);
   CHECK_FALSE(check().is_good());
 }
 
-TEST(checker_test, second_delivery_is_a_duplicate) {
+TEST(checker_test, second_delivery_counts_as_duplicate) {
   deliver(3, 1, 1);
   deliver(4, 1, 1);
   LONGS_EQUAL(1, check().samples_duplicated);
   CHECK_FALSE(check().is_good());
 }
 
-TEST(checker_test, version_that_the_text_denies_is_wrong) {
+TEST(checker_test, declared_version_must_match_the_text) {
   deliver(3, 1, 2);
   LONGS_EQUAL(1, check().samples_with_wrong_versions);
 }
@@ -121,7 +121,7 @@
   LONGS_EQUAL(0, check().samples_over_bound);
 }
 
-TEST(checker_test, request_that_ran_twice_is_found) {
+TEST(checker_test, reports_request_that_ran_twice) {
   deliver(3, 1, 1);
   attempt("unknown");
   attempt("ran");
@@ -130,14 +130,14 @@
   LONGS_EQUAL(1, check().requests_run_twice);
 }
 
-TEST(checker_test, refused_request_that_ran_is_found) {
+TEST(checker_test, reports_refused_request_that_ran) {
   deliver(3, 1, 1);
   attempt("not_run");
   request("POST");
   LONGS_EQUAL(1, check().refused_but_run);
 }
 
-TEST(checker_test, cut_and_crossed_answers_are_found) {
+TEST(checker_test, reports_cut_and_mismatched_answers) {
   deliver(3, 1, 1);
   attempt("unknown", true);
   attempt("ran", false, false);
@@ -145,7 +145,7 @@
   LONGS_EQUAL(1, check().answers_wrong);
 }
 
-TEST(checker_test, request_long_after_leaving_is_found) {
+TEST(checker_test, reports_request_after_the_leaving_limit) {
   deliver(3, 1, 1);
   write({{"event", "leaving"}, {"backend", "a"}, {"at_ms", 1000}});
   request("GET", 3999);
@@ -154,7 +154,7 @@
   LONGS_EQUAL(1, check().sent_after_leaving);
 }
 
-TEST(checker_test, trainer_that_gave_up_is_found) {
+TEST(checker_test, unfinished_trainer_fails_the_run) {
   deliver(3, 1, 1);
   write({{"event", "finished"}, {"idle_seconds", 1.5}, {"finished", false}});
   CHECK_FALSE(check().is_good());
--- a/tests/unit/load/simulator_test.cc
+++ b/tests/unit/load/simulator_test.cc
@@ -41,7 +41,7 @@
   LONGS_EQUAL(192, report.samples);
 }
 
-TEST(simulator_test, slower_engines_make_the_trainer_wait_longer) {
+TEST(simulator_test, trainer_idle_time_grows_with_step_duration) {
   double const fast = simulate(options).idle_seconds;
   options.step *= 3;
   CHECK(simulate(options).idle_seconds > fast);
