--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -8,16 +8,16 @@
 
 namespace frostline::ctl {
 
-/// Exit codes, as --help states them.
+/// Exit codes, as documented by --help.
 enum class exit_code {
   done = 0,
   /// The service refused or could not be reached; nothing was changed.
   failed = 1,
-  /// The command line is wrong.
+  /// The command line is invalid.
   usage = 2,
-  /// Another change won.
+  /// A concurrent change was applied first.
   conflict = 3,
-  /// It can't be known whether the change was accepted; ask `status` for the token.
+  /// It is unknown whether the change was accepted; look for its token with `status`.
   unknown = 4,
 };
 
@@ -32,6 +32,6 @@
 extern char const k_usage[];
 
 /// Runs one command.
-exit_code run(invocation const& what);
+exit_code run(invocation const& command_line);
 
 }  // namespace frostline::ctl
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -18,10 +18,10 @@
     std::cerr << (node ? "" : "frostlinectl: --node must be IP:port\n") << frostline::ctl::k_usage;
     return static_cast<int>(frostline::ctl::exit_code::usage);
   }
-  frostline::ctl::invocation what;
-  what.node = *node;
-  what.json = FLAGS_json;
-  what.command = argv[1];
-  what.arguments.assign(argv + 2, argv + argc);
-  return static_cast<int>(frostline::ctl::run(what));
+  frostline::ctl::invocation command_line;
+  command_line.node = *node;
+  command_line.json = FLAGS_json;
+  command_line.command = argv[1];
+  command_line.arguments.assign(argv + 2, argv + argc);
+  return static_cast<int>(frostline::ctl::run(command_line));
 }
