--- a/rehearsal/chaos.cc
+++ b/rehearsal/chaos.cc
@@ -1,6 +1,5 @@
-/// @file Faults in pairs, seeded: trainers and callers run while two faults at a time are caused,
-/// one pair after the other; the checker judges by the journals. A trace of what was done is
-/// written, and can be replayed or cut short with --trace.
+/// @file Injects pairs of faults, drawn from a seed, while a trainer and callers run, and checks
+/// the journals afterwards. The faults are written to a trace, which --trace replays.
 
 #include <gflags/gflags.h>
 #include <signal.h>
@@ -18,9 +17,9 @@
 #include "test_trainer.h"
 
 DEFINE_uint64(seed, 1, "seed of everything random");
-DEFINE_double(minutes, 2, "how long faults are caused");
+DEFINE_double(minutes, 2, "duration of fault injection, minutes");
 DEFINE_string(trace, "", "replay this trace instead of drawing faults; lines may be removed");
-DEFINE_string(report, "chaos-report.json", "file for the verdict");
+DEFINE_string(report, "chaos-report.json", "file for the check's report");
 
 namespace {
 
@@ -32,8 +31,8 @@
 constexpr std::uint32_t k_nodes = 4;
 constexpr std::uint32_t k_engines = 4;
 constexpr char k_task[] = "main";
-constexpr milliseconds k_fault_time{4000};
-constexpr milliseconds k_recovery_limit{40'000};
+constexpr milliseconds k_fault_duration{4000};
+constexpr milliseconds k_recovery_timeout{40'000};
 
 enum class fault {
   kill_engine,
@@ -49,7 +48,7 @@
 constexpr std::array k_fault_names = {"kill_engine",  "kill_node",    "freeze_owner",  "kv_outage",
                                       "lost_answers", "partial_swap", "operator_race", "stop_node"};
 
-/// Two faults, and which machines they meet.
+/// Two faults that are active at the same time; `target` selects the machines.
 struct fault_pair {
   fault first = fault::kill_engine;
   fault second = fault::kill_engine;
@@ -63,7 +62,7 @@
 
 fault parse_fault(std::string const& name) {
   auto const found = std::find(k_fault_names.begin(), k_fault_names.end(), name);
-  if (found == k_fault_names.end()) throw std::runtime_error("no such fault: " + name);
+  if (found == k_fault_names.end()) throw std::runtime_error("unknown fault: " + name);
   return static_cast<fault>(found - k_fault_names.begin());
 }
 
@@ -80,7 +79,7 @@
   return pairs;
 }
 
-/// All pairs in an order that the seed gives, again and again.
+/// Draws `count` pairs: repeated rounds of all pairs, each in random order.
 std::vector<fault_pair> draw_pairs(std::uint64_t seed, std::size_t count) {
   std::mt19937_64 random(seed);
   std::vector<fault_pair> pairs;
@@ -99,31 +98,32 @@
   return pairs;
 }
 
-class rehearsal {
+class fault_injector {
  public:
-  explicit rehearsal(cluster& system) : system_(system) {}
+  explicit fault_injector(cluster& system) : system_(system) {}
 
-  /// Causes both faults, undoes them, and waits until work flows again. @return seconds of that.
-  double cause(fault_pair const& pair) {
-    cause(pair.first, pair.target);
-    cause(pair.second, pair.target + 1);
-    wait_while_faulty();
+  /// Injects both faults, ends them and waits until batches are delivered again.
+  /// @return recovery time in seconds.
+  double inject(fault_pair const& pair) {
+    inject(pair.first, pair.target);
+    inject(pair.second, pair.target + 1);
+    wait_for_fault_duration();
     for (auto const& undo : undo_) undo();
     undo_.clear();
     time_point const begin = boot_clock::now();
-    std::uint64_t const before = delivered();
+    std::uint64_t const before = delivered_batches();
     cluster::wait_until(
-        "work flows after " + pair.to_string(), [&] { return all_ready() && delivered() > before; },
-        k_recovery_limit);
+        "batches are delivered after " + pair.to_string(),
+        [&] { return all_ready() && delivered_batches() > before; }, k_recovery_timeout);
     std::chrono::duration<double> const took = boot_clock::now() - begin;
     return took.count();
   }
 
  private:
-  void cause(fault what, std::uint32_t target) {
+  void inject(fault kind, std::uint32_t target) {
     std::uint32_t const node = target % k_nodes;
     std::uint32_t const engine = target % k_engines;
-    switch (what) {
+    switch (kind) {
       case fault::kill_engine:
         system_.process(cluster::engine_name(engine)).kill();
         undo_.push_back([this, engine] { system_.start_engine(engine); });
@@ -138,7 +138,7 @@
         freeze_owner();
         break;
       case fault::kv_outage:
-        system_.set_faults(system_.kv(), {{"outage_ms", k_fault_time.count()}});
+        system_.set_faults(system_.kv(), {{"outage_ms", k_fault_duration.count()}});
         break;
       case fault::lost_answers:
         system_.set_faults(system_.kv(), {{"lose_answers", 4}});
@@ -148,7 +148,7 @@
         system_.set_faults(system_.engine(engine), {{"fail_loads", 5}});
         break;
       case fault::operator_race:
-        race_operators();
+        publish_conflicting_routes();
         break;
     }
   }
@@ -166,7 +166,7 @@
   void freeze_owner() {
     for (std::uint32_t node = 0; node < k_nodes; ++node) {
       if (!system_.process(cluster::node_name(node)).is_running()) continue;
-      std::string const owner = owner_of(node);
+      std::string const owner = find_owner(node);
       if (owner.empty() || !system_.process(owner).is_running()) continue;
       system_.process(owner).send_signal(SIGSTOP);
       undo_.push_back([this, owner] {
@@ -176,16 +176,16 @@
     }
   }
 
-  std::string owner_of(std::uint32_t by_node) {
+  std::string find_owner(std::uint32_t by_node) {
     try {
       return testing::owner_of(system_, k_task, 0, by_node);
     } catch (std::exception const&) {
-      return {};  // that node is among the faults
+      return {};  // a fault may have stopped that node
     }
   }
 
-  /// Two operators publish different weights under the same number at the same time.
-  void race_operators() {
+  /// Puts different definitions of the same route through all nodes.
+  void publish_conflicting_routes() {
     for (std::uint32_t node = 0; node < k_nodes; ++node) {
       rpc::PutRouteRequestT request;
       request.route = std::make_unique<rpc::RouteRecordT>();
@@ -194,12 +194,12 @@
       request.route->backends = {cluster::app_name(node % 2)};
       auto const answer = system_.client().call<rpc::PutRouteRequestT, rpc::ChangeResponseT>(
           system_.node(node), "OperatorService", "PutRoute", request, milliseconds(2000));
-      (void)answer.has_value();  // the outcome is told or not; the checker sees what is in force
+      (void)answer.has_value();  // any outcome is allowed
     }
   }
 
-  void wait_while_faulty() {
-    time_point const end = boot_clock::now() + k_fault_time;
+  void wait_for_fault_duration() {
+    time_point const end = boot_clock::now() + k_fault_duration;
     cluster::wait_until("the faults have lasted", [end] { return boot_clock::now() >= end; });
   }
 
@@ -212,7 +212,7 @@
     return true;
   }
 
-  std::uint64_t delivered() {
+  std::uint64_t delivered_batches() {
     std::uint64_t batches = 0;
     for (std::uint32_t node = 0; node < k_nodes; ++node) {
       try {
@@ -237,7 +237,7 @@
   return draw_pairs(FLAGS_seed, std::max<std::size_t>(1, count));
 }
 
-json::object spread(std::vector<double> values) {
+json::object summarize(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   if (values.empty()) return {};
   return {{"median", values[values.size() / 2]}, {"longest", values.back()}};
@@ -269,14 +269,14 @@
       "callers.log", {"callers", "--nodes=" + system.node_list(), "--rate=40",
                       "--seconds=" + std::to_string(limit), "--stop_file=" + folder + "/stop",
                       "--journal=" + journals + "/callers.jsonl"});
-  rehearsal stage(system);
+  fault_injector injector(system);
   std::vector<double> recoveries;
   std::ofstream trace(folder + "/trace.txt");
   for (fault_pair const& pair : pairs) {
     trace << pair.to_string() << std::endl;
-    double const recovery = stage.cause(pair);
+    double const recovery = injector.inject(pair);
     recoveries.push_back(recovery);
-    std::cout << pair.to_string() << ": work flows after " << recovery << " s" << std::endl;
+    std::cout << pair.to_string() << ": recovered after " << recovery << " s" << std::endl;
   }
   std::ofstream(folder + "/stop") << "stop\n";
   int const trainer_code = trainer.wait(120);
@@ -284,14 +284,14 @@
   load::check_options check;
   check.folder = journals;
   auto verdict = load::check_journals(check);
-  // Nodes are killed here, so cut connections are to be expected; they are told, not judged.
+  // Killed nodes cut connections, so these are reported but don't fail the run.
   std::uint64_t const cut = verdict.requests_cut;
   verdict.requests_cut = 0;
   json::object body = verdict.to_json();
   body["requests_cut"] = cut;
   body["seed"] = FLAGS_seed;
   body["pairs"] = pairs.size();
-  body["recovery_seconds"] = spread(recoveries);
+  body["recovery_seconds"] = summarize(recoveries);
   std::ofstream(FLAGS_report) << json::serialize(body) << '\n';
   std::cout << json::serialize(body) << std::endl;
   bool const good = verdict.is_good() && trainer_code == 0 && caller_code == 0;
--- a/rehearsal/deadly_requests.cc
+++ b/rehearsal/deadly_requests.cc
@@ -7,102 +7,103 @@
 namespace frostline::testing {
 namespace {
 
-constexpr char k_text[] = "deadly";
-/// Between two tries: some of them come while servers are back.
-constexpr milliseconds k_pause{40};
+constexpr char k_crash_text[] = "deadly";
+/// Short enough that some attempts meet restarted servers.
+constexpr milliseconds k_send_interval{40};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::ptrdiff_t k_retries_allowed = 3;
-constexpr std::size_t k_tries_a_node = 3;
-/// Tries of a job's submission while faults are under way.
-constexpr std::size_t k_submissions = 5;
-/// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
-/// Samples that are not kept from engines come again some ten times in this.
-constexpr milliseconds k_observed{4000};
-/// A job's harmless sample is finished that long after calm at the latest.
-constexpr milliseconds k_harmless_limit{15'000};
+constexpr std::size_t k_sends_per_node = 3;
+/// Attempts to submit a job while faults are active.
+constexpr std::size_t k_submit_attempts = 5;
+/// Within this time after the third crash, all nodes know that the request is poisonous.
+constexpr milliseconds k_propagation_time{3000};
+/// Long enough for about ten retries of a sample that is not quarantined.
+constexpr milliseconds k_observation_time{4000};
+/// Time in which a job's harmless sample must complete once the faults have ended.
+constexpr milliseconds k_harmless_timeout{15'000};
 
-// Each ends in a full stop, so that no mark begins another.
-std::string mark_of_call(std::size_t call) {
-  return std::string(k_text) + "-call-" + std::to_string(call) + ".";
+// Each marker ends with a period, so that none is a prefix of another.
+std::string call_marker(std::size_t call) {
+  return std::string(k_crash_text) + "-call-" + std::to_string(call) + ".";
 }
 
-std::string mark_of_sample(std::size_t job) {
-  return std::string(k_text) + "-sample-" + std::to_string(job) + ".";
+std::string sample_marker(std::size_t job) {
+  return std::string(k_crash_text) + "-sample-" + std::to_string(job) + ".";
 }
 
-std::string mark_of_scorer(std::size_t job) {
-  return std::string(k_text) + "-scorer-" + std::to_string(job) + ".";
+std::string scorer_marker(std::size_t job) {
+  return std::string(k_crash_text) + "-scorer-" + std::to_string(job) + ".";
 }
 
-std::string name_of_job(std::size_t number) { return "crashing-job-" + std::to_string(number); }
+std::string job_name(std::size_t number) { return "crashing-job-" + std::to_string(number); }
 
-std::string harmless_item(std::size_t number) { return "harmless-" + std::to_string(number); }
+std::string harmless_item_id(std::size_t number) { return "harmless-" + std::to_string(number); }
 
 }  // namespace
 
-deadly_requests::deadly_requests(platform_cluster& system, std::string key, std::uint64_t seed,
-                                 milliseconds patience)
-    : system_(system), key_(std::move(key)), patience_(patience) {
-  system_.set_crash_text(k_text);
+poison_requests::poison_requests(platform_cluster& system, std::string key, std::uint64_t seed,
+                                 milliseconds call_timeout)
+    : system_(system), key_(std::move(key)), call_timeout_(call_timeout) {
+  system_.set_crash_text(k_crash_text);
   sender_ = std::thread([this, seed] { send_loop(seed); });
 }
 
-deadly_requests::~deadly_requests() { stop(); }
+poison_requests::~poison_requests() { stop(); }
 
-void deadly_requests::switch_on() {
+void poison_requests::start_sending_call() {
   ++calls_;
-  on_ = true;
+  sending_ = true;
 }
 
-void deadly_requests::stop() {
-  ended_ = true;
+void poison_requests::stop() {
+  stopped_ = true;
   if (sender_.joinable()) sender_.join();
 }
 
-void deadly_requests::send(std::size_t call, std::size_t node) {
-  std::string const id = mark_of_call(call) + std::to_string(next_id_++);
+void poison_requests::send(std::size_t call, std::size_t node) {
+  std::string const id = call_marker(call) + std::to_string(next_id_++);
   std::string const path = call % 2 == 0 ? "/calls/x" : "/once/x";
-  // What it is answered is judged by what reaches the servers.
+  // The response is ignored: the check counts what reaches the servers.
   static_cast<void>(
-      system_.call(node, http::verb::post, path, id, mark_of_call(call), patience_, key_));
+      system_.call(node, http::verb::post, path, id, call_marker(call), call_timeout_, key_));
 }
 
-void deadly_requests::send_loop(std::uint64_t seed) {
+void poison_requests::send_loop(std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  while (!ended_) {
-    if (on_) send(calls_, random() % system_.nodes());
-    std::this_thread::sleep_for(k_pause);
+  while (!stopped_) {
+    if (sending_) send(calls_, random() % system_.nodes());
+    std::this_thread::sleep_for(k_send_interval);
   }
 }
 
-bool deadly_requests::submit(std::size_t node, std::string const& job, std::size_t number) {
-  std::string const name = name_of_job(number);
+bool poison_requests::submit(std::size_t node, std::string const& job, std::size_t number) {
+  std::string const name = job_name(number);
   std::vector<test_item> items(3);
   items[0] = {name + "-sample", "group-a"};
-  items[0].prompt = mark_of_sample(number);
+  items[0].prompt = sample_marker(number);
   items[1] = {name + "-scorer", "group-a"};
-  items[1].scorer_body = mark_of_scorer(number);
-  items[2] = {harmless_item(number), "group-b"};
-  for (test_item& one : items) one.scorer_path = "/open/score";
+  items[1].scorer_body = scorer_marker(number);
+  items[2] = {harmless_item_id(number), "group-b"};
+  for (test_item& item : items) item.scorer_path = "/open/score";
   return system_.submit(node, job, items) == 202;
 }
 
-void deadly_requests::hand_in_job() {
+void poison_requests::submit_poison_job() {
   std::size_t const number = jobs_ + 1;
-  for (std::size_t attempt = 0; attempt < k_submissions; ++attempt) {
-    if (!submit(attempt % system_.nodes(), name_of_job(number), number)) continue;
+  for (std::size_t attempt = 0; attempt < k_submit_attempts; ++attempt) {
+    if (!submit(attempt % system_.nodes(), job_name(number), number)) continue;
     jobs_ = number;
     return;
   }
 }
 
-std::vector<time_point> deadly_requests::crashes(std::string const& mark) {
-  std::vector<time_point> times = system_.on_platform([this, &mark] {
+std::vector<time_point> poison_requests::crash_times(std::string const& marker) {
+  std::vector<time_point> times = system_.on_platform([this, &marker] {
     std::vector<time_point> found;
     auto const take = [&](server_standin const& server) {
-      for (arrival const& one : server.arrivals()) {
-        if (one.crashed && one.body.find(mark) != std::string::npos) found.push_back(one.at);
+      for (arrival const& request : server.arrivals()) {
+        if (request.crashed && request.body.find(marker) != std::string::npos)
+          found.push_back(request.at);
       }
     };
     for (std::size_t index = 0; index < system_.apps(); ++index) take(system_.app(index));
@@ -113,64 +114,65 @@
   return times;
 }
 
-void deadly_requests::judge(std::string const& mark, time_point calm_since,
-                            std::vector<broken_promise>& broken) {
-  auto const times = crashes(mark);
+void poison_requests::check_retries(std::string const& marker, time_point faults_ended_at,
+                                    std::vector<broken_promise>& broken) {
+  auto const times = crash_times(marker);
   if (times.size() < k_crashes_allowed) return;
-  ++judged_;
-  time_point const bound = std::max(calm_since, times[k_crashes_allowed - 1] + k_contact);
+  ++retries_checked_;
+  time_point const allowed_until =
+      std::max(faults_ended_at, times[k_crashes_allowed - 1] + k_propagation_time);
   auto const more =
-      std::count_if(times.begin(), times.end(), [&](time_point at) { return at > bound; });
+      std::count_if(times.begin(), times.end(), [&](time_point at) { return at > allowed_until; });
   if (more <= k_retries_allowed) return;
-  broken.push_back({"few retries after three crashes", mark + " " + std::to_string(times.size()) +
+  broken.push_back({"few retries after three crashes", marker + " " + std::to_string(times.size()) +
                                                            " crashes, " + std::to_string(more) +
                                                            " of them late"});
 }
 
-void deadly_requests::check_call(std::size_t call, std::function<void()> const& wait_for_service,
+void poison_requests::check_call(std::size_t call, std::function<void()> const& wait_for_service,
                                  std::vector<broken_promise>& broken) {
   time_point const begin = boot_clock::now();
-  if (crashes(mark_of_call(call)).size() < k_crashes_allowed) return;
-  for (std::size_t number = 0; number < k_tries_a_node * system_.nodes(); ++number) {
+  if (crash_times(call_marker(call)).size() < k_crashes_allowed) return;
+  for (std::size_t number = 0; number < k_sends_per_node * system_.nodes(); ++number) {
     wait_for_service();
     send(call, number % system_.nodes());
   }
-  judge(mark_of_call(call), begin, broken);
+  check_retries(call_marker(call), begin, broken);
 }
 
-bool deadly_requests::is_harmless_finished(std::string const& job, std::size_t number) {
+bool poison_requests::is_harmless_sample_completed(std::string const& job, std::size_t number) {
   auto const listed = system_.results(number % system_.nodes(), job);
   if (!listed) return false;
-  for (auto const& one : listed->at("results").as_array()) {
-    bool const completed = json_text(one.as_object(), "state") == "completed";
-    if (completed && json_text(one.as_object(), "id") == harmless_item(number)) return true;
+  for (auto const& result : listed->at("results").as_array()) {
+    bool const completed = json_text(result.as_object(), "state") == "completed";
+    if (completed && json_text(result.as_object(), "id") == harmless_item_id(number)) return true;
   }
   return false;
 }
 
-void deadly_requests::check_job(std::size_t number, std::function<void()> const& wait_for_service,
+void poison_requests::check_job(std::size_t number, std::function<void()> const& wait_for_service,
                                 std::vector<broken_promise>& broken) {
   time_point const begin = boot_clock::now();
-  std::string const first = name_of_job(number);
+  std::string const first = job_name(number);
   std::string job = first;
-  // The same samples come again in another job.
+  // Submit the same samples again in further jobs.
   for (std::size_t node = 0; node < system_.nodes(); ++node) {
     wait_for_service();
     std::string const again = first + "-again-" + std::to_string(node);
     if (submit(node, again, number)) job = again;
   }
-  time_point const limit = boot_clock::now() + k_harmless_limit;
-  while (!is_harmless_finished(job, number)) {
+  time_point const limit = boot_clock::now() + k_harmless_timeout;
+  while (!is_harmless_sample_completed(job, number)) {
     if (boot_clock::now() < limit) continue;
-    broken.push_back({"what ends no server is finished", job});
+    broken.push_back({"harmless sample is completed", job});
     break;
   }
-  while (boot_clock::now() < begin + k_observed) wait_for_service();
-  judge(mark_of_sample(number), begin, broken);
-  judge(mark_of_scorer(number), begin, broken);
+  while (boot_clock::now() < begin + k_observation_time) wait_for_service();
+  check_retries(sample_marker(number), begin, broken);
+  check_retries(scorer_marker(number), begin, broken);
 }
 
-std::vector<broken_promise> deadly_requests::check(std::function<void()> const& wait_for_service) {
+std::vector<broken_promise> poison_requests::check(std::function<void()> const& wait_for_service) {
   std::vector<broken_promise> broken;
   for (std::size_t call = 1; call <= calls_; ++call) check_call(call, wait_for_service, broken);
   for (std::size_t job = 1; job <= jobs_; ++job) check_job(job, wait_for_service, broken);
--- a/rehearsal/deadly_requests.h
+++ b/rehearsal/deadly_requests.h
@@ -1,5 +1,6 @@
-/// @file Requests that end the servers that run them, during a soak and after its faults: calls
-/// that may be repeated and others, samples of jobs, and their scorers' calls.
+/// @file Sends poison requests, which crash the servers that run them, during a soak: repeatable
+/// and other calls, samples of jobs, and calls of their scorers. After the faults it checks that
+/// the gateways limit the crashes.
 #pragma once
 
 #include <atomic>
@@ -15,43 +16,45 @@
 
 namespace frostline::testing {
 
-/// Each such request has a mark of its own in its body.
-class deadly_requests {
+/// Each poison request carries a unique marker in its body.
+class poison_requests {
  public:
-  /// @param key of the tenant whose requests they are.
-  /// @param patience of the calls' callers.
-  deadly_requests(platform_cluster& system, std::string key, std::uint64_t seed,
-                  milliseconds patience);
-  ~deadly_requests();
+  /// @param key API key that the requests are sent with.
+  /// @param call_timeout after which a caller closes its connection.
+  poison_requests(platform_cluster& system, std::string key, std::uint64_t seed,
+                  milliseconds call_timeout);
+  ~poison_requests();
 
-  /// Begins another call, which is sent to all nodes again and again while it is switched on.
-  void switch_on();
-  void switch_off() { on_ = false; }
-  /// Hands in a job with a sample that ends engines, one whose scorer's call ends application
-  /// servers, and one that ends nothing. It stays until the end.
-  void hand_in_job();
-  /// Ends the sending. To be called before `check`.
+  /// Starts a new call and sends it repeatedly to random nodes until `stop_sending_call`.
+  void start_sending_call();
+  void stop_sending_call() { sending_ = false; }
+  /// Submits a job of three samples: one crashes engines, the scorer call of one crashes
+  /// application servers, and one is harmless. The job is never ended.
+  void submit_poison_job();
+  /// Stops the sender thread. Call this before `check`.
   void stop();
-  /// Sends each request again at all nodes, which are calm.
-  /// @param wait_for_service waits until others are served.
-  /// @return requests that still reached servers more often than is allowed, and jobs whose
-  /// harmless samples were not finished.
+  /// Sends each request again through every node, after all faults have ended.
+  /// @param wait_for_service waits until harmless calls are served.
+  /// @return requests that reached servers more often than allowed, and jobs whose harmless
+  /// samples were not completed.
   std::vector<broken_promise> check(std::function<void()> const& wait_for_service);
   std::size_t count() const { return calls_ + 2 * jobs_; }
-  /// Tries of all calls.
+  /// Attempts of all calls.
   std::uint64_t sent() const { return next_id_; }
-  /// Requests that ended three servers or more, after `check`.
-  std::size_t judged() const { return judged_; }
+  /// Number of requests that crashed at least three servers; valid after `check`.
+  std::size_t retries_checked() const { return retries_checked_; }
 
  private:
   void send_loop(std::uint64_t seed);
   void send(std::size_t call, std::size_t node);
   bool submit(std::size_t node, std::string const& job, std::size_t number);
-  bool is_harmless_finished(std::string const& job, std::size_t number);
-  /// When servers ended under the request with this mark, in order.
-  std::vector<time_point> crashes(std::string const& mark);
-  /// @param calm_since from then on no node is disturbed.
-  void judge(std::string const& mark, time_point calm_since, std::vector<broken_promise>& broken);
+  bool is_harmless_sample_completed(std::string const& job, std::size_t number);
+  /// Returns when the request with this marker crashed servers, in ascending order.
+  std::vector<time_point> crash_times(std::string const& marker);
+  /// Checks that few retries reached servers after the third crash.
+  /// @param faults_ended_at no node is disturbed after this time.
+  void check_retries(std::string const& marker, time_point faults_ended_at,
+                     std::vector<broken_promise>& broken);
   void check_call(std::size_t call, std::function<void()> const& wait_for_service,
                   std::vector<broken_promise>& broken);
   void check_job(std::size_t number, std::function<void()> const& wait_for_service,
@@ -59,13 +62,13 @@
 
   platform_cluster& system_;
   std::string key_;
-  milliseconds patience_;
-  std::atomic<bool> on_ = false;
-  std::atomic<bool> ended_ = false;
+  milliseconds call_timeout_;
+  std::atomic<bool> sending_ = false;
+  std::atomic<bool> stopped_ = false;
   std::atomic<std::size_t> calls_ = 0;
   std::size_t jobs_ = 0;
   std::atomic<std::uint64_t> next_id_ = 0;
-  std::size_t judged_ = 0;
+  std::size_t retries_checked_ = 0;
   std::thread sender_;
 };
 
--- a/rehearsal/demo.cc
+++ b/rehearsal/demo.cc
@@ -1,6 +1,6 @@
-/// @file The demonstration: 3 nodes in 3 zones, 4 engines, 2 application servers and the platform's
-/// stand-ins; 512 samples over 4 versions with callers alongside, while one engine is killed, one
-/// is drained and one node is stopped. The verdict comes from the journals.
+/// @file Demonstration: a training job of 512 samples over 4 weight versions, and callers, on 3
+/// nodes in 3 zones, 4 engines and 2 application servers, while one engine is killed, one is
+/// drained and one node is stopped. The journals are checked afterwards.
 
 #include <signal.h>
 
@@ -24,7 +24,7 @@
 constexpr int k_caller_seconds = 12;
 constexpr char k_report_path[] = "demo-report.json";
 
-void say(std::string const& line) { std::cout << line << std::endl; }
+void print_line(std::string const& line) { std::cout << line << std::endl; }
 
 std::uint64_t finished_batches(cluster& system, std::uint32_t by_node) {
   std::uint64_t batches = 0;
@@ -38,17 +38,17 @@
       [&] { return finished_batches(system, 0) >= wanted; }, frostline::milliseconds(60'000));
 }
 
-/// One failure after the other, each once some more batches have been delivered.
+/// Injects the failures one by one; each waits for further committed batches.
 void cause_failures(cluster& system) {
   wait_for_batches(system, 2);
-  say("killing " + cluster::engine_name(k_killed_engine));
+  print_line("killing " + cluster::engine_name(k_killed_engine));
   system.process(cluster::engine_name(k_killed_engine)).kill();
   wait_for_batches(system, 5);
-  say("draining " + cluster::engine_name(k_drained_engine));
+  print_line("draining " + cluster::engine_name(k_drained_engine));
   system.drain(cluster::engine_name(k_drained_engine));
   system.note_leaving(cluster::engine_name(k_drained_engine));
   wait_for_batches(system, 8);
-  say("stopping " + cluster::node_name(k_stopped_node) + " by SIGTERM");
+  print_line("stopping " + cluster::node_name(k_stopped_node) + " by SIGTERM");
   system.process(cluster::node_name(k_stopped_node)).send_signal(SIGTERM);
 }
 
@@ -58,23 +58,23 @@
   auto const verdict = frostline::load::check_journals(options);
   auto const body = verdict.to_json();
   std::ofstream(k_report_path) << boost::json::serialize(body) << '\n';
-  say("");
+  print_line("");
   for (auto const& [key, value] : body) {
-    say("  " + std::string(key) + ": " + boost::json::serialize(value));
+    print_line("  " + std::string(key) + ": " + boost::json::serialize(value));
   }
-  say(verdict.is_good() ? "\nevery property held" : "\nA PROPERTY IS BROKEN");
+  print_line(verdict.is_good() ? "\nevery property held" : "\nA PROPERTY IS BROKEN");
   return verdict.is_good() ? 0 : 1;
 }
 
 int run() {
   std::string const folder = frostline::testing::make_run_folder("frostline-demo");
-  say("logs and journals: " + folder);
+  print_line("logs and journals: " + folder);
   cluster_options options;
   options.nodes = 3;
   options.engines = 4;
   options.step_us = 4000;
   cluster system(folder, options);
-  say("3 nodes, 4 engines, 2 application servers and the platform's stand-ins run");
+  print_line("3 nodes, 4 engines, 2 application servers and the platform's stand-ins run");
   system.put_task(k_task, 1, 16, 2);
   system.put_route("lookup", "/lookup/", true);
   system.put_route("bid", "/bid/", false);
@@ -93,8 +93,8 @@
   int const trainer_code = trainer.wait(k_trainer_seconds + 10);
   int const caller_code = callers.wait(k_caller_seconds + 30);
   int const node_code = system.process(cluster::node_name(k_stopped_node)).wait(30);
-  say("trainer ended with " + std::to_string(trainer_code) + ", callers with " +
-      std::to_string(caller_code) + ", stopped node with " + std::to_string(node_code));
+  print_line("trainer ended with " + std::to_string(trainer_code) + ", callers with " +
+             std::to_string(caller_code) + ", stopped node with " + std::to_string(node_code));
   int const verdict = report(system);
   bool const clean = trainer_code == 0 && caller_code == 0 && node_code == 0;
   return clean ? verdict : 1;
--- a/rehearsal/measure_control.cc
+++ b/rehearsal/measure_control.cc
@@ -1,5 +1,6 @@
-/// @file Measures the control side of hollow nodes: traffic, CPU, memory and key-value operations
-/// a node, and the time for a change, a version, a join and a lost zone to be known everywhere.
+/// @file Measures the control plane of emulated nodes: traffic, CPU, memory and key-value
+/// operations per node, and the time until all nodes know of a change, a version, a join or a lost
+/// zone.
 
 #include <signal.h>
 
@@ -21,11 +22,11 @@
 constexpr char k_task[] = "main";
 constexpr std::uint32_t k_zones = 10;
 constexpr milliseconds k_call_timeout{10'000};
-constexpr milliseconds k_patience{120'000};
-/// Time in which the news of the start runs out.
-constexpr milliseconds k_settle{10'000};
+constexpr milliseconds k_wait_timeout{120'000};
+/// Time for the gossip traffic of the start to subside.
+constexpr milliseconds k_settle_time{10'000};
 
-/// Sums over all processes of nodes.
+/// Sums and extremes over all node processes.
 struct totals {
   double cpu_seconds = 0;
   double resident_kib = 0;
@@ -36,24 +37,24 @@
   std::uint64_t serving = 0;
   std::uint64_t engines_ready = 0;
   std::uint64_t engines_controlled = 0;
-  std::uint64_t most_controlled = 0;
+  std::uint64_t max_controlled = 0;
   std::uint64_t lowest_revision = UINT64_MAX;
   std::uint64_t lowest_alive = UINT64_MAX;
   std::uint64_t highest_alive = 0;
 };
 
-double real(json::object const& body, std::string_view key) {
+double number_field(json::object const& body, std::string_view key) {
   return body.at(key).to_number<double>();
 }
 
-std::uint64_t whole(json::object const& body, std::string_view key) {
+std::uint64_t unsigned_field(json::object const& body, std::string_view key) {
   return static_cast<std::uint64_t>(json_number(body, key));
 }
 
-/// A system of hollow nodes, one process a zone.
-class hollow_system {
+/// A system of emulated nodes, with one process per zone.
+class emulated_system {
  public:
-  hollow_system(std::uint32_t nodes, std::uint32_t engines)
+  emulated_system(std::uint32_t nodes, std::uint32_t engines)
       : nodes_(nodes),
         engines_(engines),
         folder_(testing::make_run_folder("frostline-hollow")),
@@ -88,22 +89,22 @@
   }
 
   totals report(std::uint32_t skipped_zone = k_zones) {
-    totals all;
+    totals sums;
     for (std::uint32_t zone = 0; zone < k_zones; ++zone) {
       if (zone == skipped_zone) continue;
       auto const answer =
           client_.exchange(controls_[zone], http::make_get("/report"), k_call_timeout);
       auto const body = answer ? parse_json_object(answer.value().body()) : std::nullopt;
-      if (!body) throw std::runtime_error("zone " + std::to_string(zone) + " does not report");
-      add(*body, all);
+      if (!body) throw std::runtime_error("zone " + std::to_string(zone) + " sent no report");
+      add(*body, sums);
     }
-    return all;
+    return sums;
   }
 
   child_process& process(std::string const& name) { return *processes_.at(name); }
 
-  /// Any node's address, from the machine list.
-  endpoint some_node() {
+  /// Returns the address of a node, from the machine list.
+  endpoint any_node() {
     if (node_.port != 0) return node_;
     auto const answer = client_.exchange(machines_, http::make_get("/v1/machines"), k_call_timeout);
     auto const body = parse_json_object(answer.value().body());
@@ -118,22 +119,22 @@
   template <class Request>
   rpc::ChangeResponseT change(std::string_view method, Request const& request) {
     auto const answer = client_.call<Request, rpc::ChangeResponseT>(
-        some_node(), "OperatorService", method, request, k_call_timeout);
+        any_node(), "OperatorService", method, request, k_call_timeout);
     if (!answer) throw std::runtime_error(std::string(method) + ": " + answer.error().detail);
     return answer.value();
   }
 
-  void outage(std::int64_t duration_ms) {
+  void set_outage(std::int64_t duration_ms) {
     auto message = http::make_post(
         "/faults", json::serialize(json::object{{"outage_ms", duration_ms}}), http::k_json);
     auto const answer = client_.exchange(kv_, std::move(message), k_call_timeout);
-    if (!answer) throw std::runtime_error("outage could not be set");
+    if (!answer) throw std::runtime_error("can't inject the outage");
   }
 
-  /// Operations that the key-value service has been asked for.
+  /// Returns how many operations the key-value service has received.
   double kv_operations() {
     auto const answer = client_.exchange(kv_, http::make_get("/stats"), k_call_timeout);
-    return real(*parse_json_object(answer.value().body()), "operations");
+    return number_field(*parse_json_object(answer.value().body()), "operations");
   }
 
   std::uint32_t nodes() const { return nodes_; }
@@ -141,32 +142,37 @@
 
  private:
   void start(std::string const& program, std::string const& name,
-             std::vector<std::string> const& arguments, endpoint const& listens) {
+             std::vector<std::string> const& arguments, endpoint const& address) {
     processes_[name] = std::make_unique<child_process>(testing::program_path(program), arguments,
                                                        folder_ + "/" + name + ".log");
     cluster::wait_until(
         name + " listens",
         [&] {
-          return client_.exchange(listens, http::make_get("/healthz"), milliseconds(1000))
+          return client_.exchange(address, http::make_get("/healthz"), milliseconds(1000))
               .has_value();
         },
-        k_patience);
+        k_wait_timeout);
   }
 
-  static void add(json::object const& body, totals& all) {
-    all.cpu_seconds += real(body, "cpu_seconds");
-    all.resident_kib += real(body, "resident_kib");
-    all.gossip_bytes += real(body, "gossip_bytes_sent") + real(body, "gossip_bytes_received");
-    all.http_bytes += real(body, "http_bytes_sent") + real(body, "http_bytes_received");
-    all.kv_operations += real(body, "kv_operations");
-    all.nodes += whole(body, "nodes");
-    all.serving += whole(body, "serving");
-    all.engines_ready += whole(body, "engines_ready");
-    all.engines_controlled += whole(body, "engines_controlled");
-    all.most_controlled = std::max(all.most_controlled, whole(body, "engines_controlled_highest"));
-    all.lowest_revision = std::min(all.lowest_revision, whole(body, "config_revision_lowest"));
-    all.lowest_alive = std::min(all.lowest_alive, whole(body, "members_alive_lowest"));
-    all.highest_alive = std::max(all.highest_alive, whole(body, "members_alive_highest"));
+  static void add(json::object const& body, totals& sums) {
+    sums.cpu_seconds += number_field(body, "cpu_seconds");
+    sums.resident_kib += number_field(body, "resident_kib");
+    sums.gossip_bytes +=
+        number_field(body, "gossip_bytes_sent") + number_field(body, "gossip_bytes_received");
+    sums.http_bytes +=
+        number_field(body, "http_bytes_sent") + number_field(body, "http_bytes_received");
+    sums.kv_operations += number_field(body, "kv_operations");
+    sums.nodes += unsigned_field(body, "nodes");
+    sums.serving += unsigned_field(body, "serving");
+    sums.engines_ready += unsigned_field(body, "engines_ready");
+    sums.engines_controlled += unsigned_field(body, "engines_controlled");
+    sums.max_controlled =
+        std::max(sums.max_controlled, unsigned_field(body, "engines_controlled_highest"));
+    sums.lowest_revision =
+        std::min(sums.lowest_revision, unsigned_field(body, "config_revision_lowest"));
+    sums.lowest_alive = std::min(sums.lowest_alive, unsigned_field(body, "members_alive_lowest"));
+    sums.highest_alive =
+        std::max(sums.highest_alive, unsigned_field(body, "members_alive_highest"));
   }
 
   std::uint32_t nodes_;
@@ -181,9 +187,9 @@
   endpoint node_;
 };
 
-double seconds_until(std::string const& what, std::function<bool()> condition) {
+double seconds_until(std::string const& description, std::function<bool()> condition) {
   time_point const begin = boot_clock::now();
-  cluster::wait_until(what, std::move(condition), k_patience);
+  cluster::wait_until(description, std::move(condition), k_wait_timeout);
   std::chrono::duration<double> const took = boot_clock::now() - begin;
   return took.count();
 }
@@ -195,8 +201,8 @@
   return request;
 }
 
-/// What an idle system spends, as rates a node.
-void measure_idle(hollow_system& system, std::uint32_t duration_seconds, json::object& row) {
+/// Measures the resource usage of an idle system, per node.
+void measure_idle(emulated_system& system, std::uint32_t duration_seconds, json::object& row) {
   totals const before = system.report();
   double const operations_before = system.kv_operations();
   time_point const begin = boot_clock::now();
@@ -210,10 +216,10 @@
   row["http_bytes_per_second_per_node"] = (after.http_bytes - before.http_bytes) / node_seconds;
   row["kv_operations_per_second"] = (system.kv_operations() - operations_before) / took.count();
   row["resident_mib_per_node"] = after.resident_kib / 1024 / system.nodes();
-  row["engines_on_busiest_node"] = after.most_controlled;
+  row["engines_on_busiest_node"] = after.max_controlled;
 }
 
-void measure_changes(hollow_system& system, json::object& row) {
+void measure_changes(emulated_system& system, json::object& row) {
   double slowest_change = 0;
   double slowest_version = 0;
   for (std::uint64_t number = 2; number < 5; ++number) {
@@ -231,7 +237,7 @@
   row["version_on_every_engine_seconds"] = slowest_version;
 }
 
-void measure_lost_zone(hollow_system& system, json::object& row) {
+void measure_lost_zone(emulated_system& system, json::object& row) {
   std::uint32_t const lost = k_zones - 1;
   std::uint64_t const lost_nodes = system.nodes() - lost * system.nodes() / k_zones;
   system.process("zone-" + std::to_string(lost)).kill();
@@ -249,10 +255,10 @@
   });
 }
 
-void measure_outage(hollow_system& system, json::object& row) {
+void measure_outage(emulated_system& system, json::object& row) {
   constexpr std::int64_t k_outage_ms = 15'000;
   double const before = system.kv_operations();
-  system.outage(k_outage_ms);
+  system.set_outage(k_outage_ms);
   std::this_thread::sleep_for(milliseconds(k_outage_ms));
   double const during = system.kv_operations();
   row["kv_operations_per_second_in_outage"] = (during - before) / (k_outage_ms / 1000.0);
@@ -270,13 +276,13 @@
 json::object measure(std::uint32_t nodes, std::uint32_t engines, std::uint32_t idle_seconds) {
   json::object row{{"nodes", nodes}, {"engines", engines}};
   time_point const begin = boot_clock::now();
-  hollow_system system(nodes, engines);
+  emulated_system system(nodes, engines);
   rpc::PutTaskRequestT task;
   task.task = std::make_unique<rpc::TaskRecordT>();
   task.task->name = k_task;
   task.task->model = "model";
   cluster::wait_until(
-      "all nodes serve", [&] { return system.report().serving == nodes; }, k_patience);
+      "all nodes serve", [&] { return system.report().serving == nodes; }, k_wait_timeout);
   system.change("PutTask", task);
   system.change("PublishVersion", version(1));
   cluster::wait_until(
@@ -285,10 +291,10 @@
         totals const now = system.report();
         return now.lowest_alive == nodes && now.engines_ready == engines;
       },
-      k_patience);
+      k_wait_timeout);
   std::chrono::duration<double> const took = boot_clock::now() - begin;
   row["whole_system_ready_seconds"] = took.count();
-  std::this_thread::sleep_for(k_settle);
+  std::this_thread::sleep_for(k_settle_time);
   measure_idle(system, idle_seconds, row);
   measure_changes(system, row);
   measure_lost_zone(system, row);
@@ -298,7 +304,7 @@
 
 }  // namespace
 
-/// Arguments: idle seconds, then pairs "nodes:engines"; prints one JSON object a line.
+/// Arguments: idle seconds, then pairs "nodes:engines". Prints one JSON object per pair.
 int main(int argc, char** argv) {
   if (argc < 3) {
     std::cerr << "frostline-measure-control IDLE_SECONDS NODES:ENGINES ...\n";
--- a/rehearsal/measure_data.cc
+++ b/rehearsal/measure_data.cc
@@ -1,5 +1,5 @@
-/// @file Slopes of the data path: CPU of the nodes against tokens relayed a second, and memory of a
-/// shard's owner against samples it holds.
+/// @file Measures the data path: CPU of the nodes by tokens relayed per second, and memory of a
+/// shard's owner by samples held.
 
 #include <fstream>
 #include <iostream>
@@ -54,7 +54,7 @@
   system.publish("main", 1);
   testing::test_trainer trainer(system, "main");
   trainer.ask = {0, 1};
-  // Enough samples that every slot stays taken through the window.
+  // Enough samples to keep every slot busy for the whole window.
   trainer.submit(0, 300 * engines, 8, 2000);
   cluster::wait_until("tokens flow", [&] { return tokens_in_journals(system, engines) > 1000; });
   std::uint64_t const tokens_before = tokens_in_journals(system, engines);
@@ -97,7 +97,7 @@
 
 }  // namespace
 
-/// Prints one JSON object a line.
+/// Prints one JSON object per measurement.
 int main() {
   try {
     for (std::uint32_t engines : {1, 2, 4, 8}) {
--- a/rehearsal/measure_latency.cc
+++ b/rehearsal/measure_latency.cc
@@ -1,5 +1,5 @@
-/// @file Added latency of a node: the same calls direct to an application server and through one
-/// node, in one run, taking turns; and calls a second per core through the node.
+/// @file Measures the latency that a node adds, by alternating direct calls to an application
+/// server with calls through the node, and the node's calls per second per core.
 
 #include <algorithm>
 #include <iostream>
@@ -20,30 +20,30 @@
 constexpr std::uint32_t k_parallel = 32;
 constexpr std::uint32_t k_saturating_calls = 40'000;
 
-double time_call(rpc::blocking_client& client, endpoint const& where) {
+double time_call(rpc::blocking_client& client, endpoint const& server) {
   time_point const begin = boot_clock::now();
-  auto const answer = client.exchange(where, http::make_get("/lookup/price"), k_timeout);
+  auto const answer = client.exchange(server, http::make_get("/lookup/price"), k_timeout);
   std::chrono::duration<double, std::milli> const took = boot_clock::now() - begin;
   if (!answer || answer.value().result() != http::status::ok)
     throw std::runtime_error("call failed");
   return took.count();
 }
 
-awaitable<void> call_many(http::client& client, endpoint where, std::uint32_t calls,
+awaitable<void> call_many(http::client& client, endpoint server, std::uint32_t calls,
                           std::uint32_t& open) {
   for (std::uint32_t call = 0; call < calls; ++call) {
-    auto answer = co_await client.exchange(where, http::make_get("/lookup/price"), k_timeout);
+    auto answer = co_await client.exchange(server, http::make_get("/lookup/price"), k_timeout);
     if (!answer) break;
   }
   --open;
 }
 
-void saturate(endpoint const& where) {
+void saturate(endpoint const& server) {
   asio::io_context context(1);
   http::client client(context);
   std::uint32_t open = k_parallel;
   for (std::uint32_t caller = 0; caller < k_parallel; ++caller) {
-    spawn(context, call_many(client, where, k_saturating_calls / k_parallel, open));
+    spawn(context, call_many(client, server, k_saturating_calls / k_parallel, open));
   }
   context.run();
 }
--- a/rehearsal/measure_overload.cc
+++ b/rehearsal/measure_overload.cc
@@ -1,5 +1,5 @@
-/// @file Ordinary calls through a spike: a base load, three times the capacity for some seconds,
-/// the base load again. Callers retry. How fast does goodput come back, with which limits?
+/// @file Measures how fast goodput recovers after an overload, for several limits. Callers, which
+/// retry, send a base load with a spike of three times the capacity.
 
 #include <fstream>
 #include <iostream>
@@ -17,7 +17,7 @@
 constexpr std::uint32_t k_apps = 2;
 constexpr std::uint32_t k_app_slots = 8;
 constexpr std::uint32_t k_service_ms = 20;
-/// What both servers can do: 2 x 8 / 20 ms.
+/// Calls per second of both servers: 2 x 8 slots / 20 ms.
 constexpr double k_capacity = 800;
 constexpr int k_base_seconds = 14;
 constexpr int k_spike_seconds = 4;
@@ -30,7 +30,7 @@
   std::uint32_t retry_percent = 0;
 };
 
-void put_limited_route(cluster& system, limits const& what) {
+void put_limited_route(cluster& system, limits const& route_limits) {
   rpc::PutRouteRequestT request;
   request.route = std::make_unique<rpc::RouteRecordT>();
   request.route->name = "lookup";
@@ -38,9 +38,9 @@
   request.route->repeatable = true;
   request.route->backends = {cluster::app_name(0), cluster::app_name(1)};
   request.route->deadline_ms = k_deadline_ms;
-  request.route->max_concurrent = what.concurrent;
-  request.route->max_queued = what.queued;
-  request.route->retry_budget_percent = what.retry_percent;
+  request.route->max_concurrent = route_limits.concurrent;
+  request.route->max_queued = route_limits.queued;
+  request.route->retry_budget_percent = route_limits.retry_percent;
   auto const answer = system.client().call<rpc::PutRouteRequestT, rpc::ChangeResponseT>(
       system.node(0), "OperatorService", "PutRoute", request, milliseconds(5000));
   if (!answer) throw std::runtime_error(answer.error().detail);
@@ -54,7 +54,7 @@
        "--journal=" + system.journal_folder() + "/" + name + ".jsonl"});
 }
 
-/// Answers with status 200 in each second since the first attempt.
+/// Counts the responses with status 200 in each second since the first attempt.
 std::vector<int> goodput_by_second(std::string const& path) {
   std::ifstream file(path);
   std::string line;
@@ -72,7 +72,7 @@
   return seconds;
 }
 
-json::object measure(limits const& what) {
+json::object measure(limits const& route_limits) {
   testing::cluster_options options;
   options.nodes = 1;
   options.engines = 0;
@@ -81,11 +81,10 @@
   options.app_service_ms = k_service_ms;
   options.log_level = "error";
   cluster system(testing::make_run_folder("frostline-overload"), options);
-  put_limited_route(system, what);
+  put_limited_route(system, route_limits);
   cluster::wait_until("the route is in force",
                       [&] { return system.status(0, true).routes.size() == 1; });
   child_process base = start_callers(system, "base", k_capacity / 2, k_base_seconds);
-  // The spike comes once the base load has run for some seconds.
   cluster::wait_until("the base load runs", [&] {
     return goodput_by_second(system.journal_folder() + "/base.jsonl").size() >= 4;
   });
@@ -98,8 +97,8 @@
   std::size_t recovered = spike_end;
   while (recovered < seconds.size() && seconds[recovered] < 0.9 * normal) ++recovered;
   json::array series;
-  for (int one : seconds) series.push_back(one);
-  return {{"variant", what.name},
+  for (int goodput : seconds) series.push_back(goodput);
+  return {{"variant", route_limits.name},
           {"goodput_before", normal},
           {"second_of_spike_end", spike_end},
           {"seconds_to_90_percent", recovered - spike_end},
@@ -108,7 +107,7 @@
 
 }  // namespace
 
-/// Prints one JSON object for each set of limits.
+/// Prints one JSON object per set of limits.
 int main() {
   try {
     std::vector<limits> const variants = {
@@ -116,7 +115,8 @@
         {"limits, retries without budget", 32, 64, 100},
         {"limits and budget (default share)", 32, 64, 10},
     };
-    for (limits const& one : variants) std::cout << json::serialize(measure(one)) << std::endl;
+    for (limits const& variant : variants)
+      std::cout << json::serialize(measure(variant)) << std::endl;
     return 0;
   } catch (std::exception const& failure) {
     std::cerr << "frostline-measure-overload: " << failure.what() << '\n';
--- a/rehearsal/measure_policies.cc
+++ b/rehearsal/measure_policies.cc
@@ -1,5 +1,5 @@
-/// @file Policies against baselines in virtual time, over both sites' sizes and a range of step
-/// times, several seeds each; and how far the model is from real processes on one job.
+/// @file Compares policies with baselines in the simulator, for several deployments, step times and
+/// seeds, and compares the simulator with real processes on one job.
 
 #include <cmath>
 #include <fstream>
@@ -18,10 +18,10 @@
 using load::simulation_report;
 using testing::cluster;
 
-/// Above this only the placement policies are compared.
-constexpr std::uint32_t k_most_engines = 100;
+/// Larger deployments run only the placement experiment.
+constexpr std::uint32_t k_max_engines_for_all_experiments = 100;
 
-struct site {
+struct deployment {
   std::string name;
   std::uint32_t engines = 0;
   std::uint32_t samples_per_step = 0;
@@ -32,29 +32,29 @@
   std::function<void(simulation_options&)> apply;
 };
 
-struct moments {
+struct mean_and_deviation {
   double mean = 0;
   double deviation = 0;
 };
 
-moments moments_of(std::vector<double> const& values) {
-  moments all;
-  for (double one : values) all.mean += one / static_cast<double>(values.size());
+mean_and_deviation compute_mean_and_deviation(std::vector<double> const& values) {
+  mean_and_deviation result;
+  for (double value : values) result.mean += value / static_cast<double>(values.size());
   double squares = 0;
-  for (double one : values) squares += (one - all.mean) * (one - all.mean);
-  all.deviation = std::sqrt(squares / static_cast<double>(values.size()));
-  return all;
+  for (double value : values) squares += (value - result.mean) * (value - result.mean);
+  result.deviation = std::sqrt(squares / static_cast<double>(values.size()));
+  return result;
 }
 
 void put(json::object& row, std::string const& name, std::vector<double> const& values) {
-  moments const all = moments_of(values);
-  row[name] = all.mean;
-  row[name + "_deviation"] = all.deviation;
+  mean_and_deviation const statistics = compute_mean_and_deviation(values);
+  row[name] = statistics.mean;
+  row[name + "_deviation"] = statistics.deviation;
 }
 
-/// One row: a variant at a site and a step time, over several seeds.
-void print_row(std::string const& experiment, site const& where, std::uint32_t step_ms,
-               variant const& what, std::uint32_t seeds) {
+/// Simulates a variant with several seeds and prints means and standard deviations.
+void print_row(std::string const& experiment, deployment const& simulated, std::uint32_t step_ms,
+               variant const& policy, std::uint32_t seeds) {
   std::vector<double> idle;
   std::vector<double> staleness;
   std::vector<double> worst;
@@ -63,12 +63,12 @@
   std::uint32_t finished = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     simulation_options options;
-    options.engines = where.engines;
-    options.samples_per_step = where.samples_per_step;
+    options.engines = simulated.engines;
+    options.samples_per_step = simulated.samples_per_step;
     options.step = milliseconds(step_ms);
     options.step_per_sample = std::chrono::microseconds(step_ms * 10);
     options.seed = seed;
-    what.apply(options);
+    policy.apply(options);
     simulation_report const report = load::simulate(options);
     if (report.finished) ++finished;
     idle.push_back(report.idle_share);
@@ -77,8 +77,8 @@
     wasted.push_back(report.wasted_share);
     hits.push_back(report.cache_hit_share);
   }
-  json::object row{{"experiment", experiment}, {"site", where.name}, {"step_ms", step_ms},
-                   {"variant", what.name},     {"seeds", seeds},     {"finished", finished}};
+  json::object row{{"experiment", experiment}, {"site", simulated.name}, {"step_ms", step_ms},
+                   {"variant", policy.name},   {"seeds", seeds},         {"finished", finished}};
   put(row, "idle_share", idle);
   put(row, "staleness_mean", staleness);
   put(row, "staleness_p99", worst);
@@ -91,14 +91,14 @@
   auto const placement = [](std::string const& name) {
     return variant{name, [name](simulation_options& options) { options.placement = name; }};
   };
-  auto const ahead = [](std::uint32_t steps) {
+  auto const with_steps_ahead = [](std::uint32_t steps) {
     return variant{std::to_string(steps) + " steps ahead", [steps](simulation_options& options) {
                      options.steps_ahead = steps;
                      options.freshness_bound = std::max<std::uint32_t>(1, steps);
                    }};
   };
-  // Prompts go two steps ahead under a bound of one: the longest samples can't be delivered.
-  auto const stale = [](std::string const& name, bool cancel) {
+  // Prompts are two steps ahead with a freshness bound of one, so the longest samples get stale.
+  auto const with_stale_runs = [](std::string const& name, bool cancel) {
     return variant{name, [cancel](simulation_options& options) {
                      options.steps_ahead = 2;
                      options.cancel_stale_runs = cancel;
@@ -107,7 +107,8 @@
   return {
       {"placement",
        {placement("round_robin"), placement("least_loaded"), placement("prefix_affinity")}},
-      {"stale runs", {stale("run to the end", false), stale("cancel at once", true)}},
+      {"stale runs",
+       {with_stale_runs("run to the end", false), with_stale_runs("cancel at once", true)}},
       {"swap order",
        {{"all at once", [](simulation_options& options) { options.load_time = seconds(5); }},
         {"rolling",
@@ -115,7 +116,7 @@
            options.load_time = seconds(5);
            options.order = load::swap_order::rolling;
          }}}},
-      {"steps ahead", {ahead(0), ahead(1), ahead(2)}},
+      {"steps ahead", {with_steps_ahead(0), with_steps_ahead(1), with_steps_ahead(2)}},
       {"crashes",
        {{"none", [](simulation_options&) {}},
         {"one in 10 min an engine",
@@ -123,7 +124,7 @@
   };
 }
 
-/// The same job by real processes and by the model.
+/// Runs the same job with real processes and in the simulator.
 void compare_with_processes() {
   testing::cluster_options options;
   options.engines = 4;
@@ -166,7 +167,7 @@
 
 }  // namespace
 
-/// Arguments: seeds, then step times in milliseconds; prints one JSON object a line.
+/// Arguments: number of seeds, then step times in milliseconds. Prints one JSON object per row.
 int main(int argc, char** argv) {
   if (argc < 3) {
     std::cerr << "frostline-measure-policies SEEDS STEP_MS ...\n";
@@ -174,15 +175,15 @@
   }
   try {
     auto const seeds = static_cast<std::uint32_t>(std::stoul(argv[1]));
-    std::vector<site> const sites = {
+    std::vector<deployment> const deployments = {
         {"Saurashtra Tide", 8, 512}, {"Sen Vang", 9, 512}, {"letter 1", 600, 4096}};
     for (auto const& [name, variants] : experiments()) {
-      for (site const& where : sites) {
-        // Rolling 600 engines one by one takes longer than a version lasts: not worth the time.
-        if (where.engines > k_most_engines && name != "placement") continue;
+      for (deployment const& simulated : deployments) {
+        // Rolling 600 engines one by one takes longer than a version is current.
+        if (simulated.engines > k_max_engines_for_all_experiments && name != "placement") continue;
         for (int index = 2; index < argc; ++index) {
           auto const step_ms = static_cast<std::uint32_t>(std::stoul(argv[index]));
-          for (variant const& what : variants) print_row(name, where, step_ms, what, seeds);
+          for (variant const& policy : variants) print_row(name, simulated, step_ms, policy, seeds);
         }
       }
     }
--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -1,5 +1,5 @@
-/// @file A randomized soak of the gateway on stand-ins of its users' platform: real processes,
-/// faults from outside them in pairs, and a checker of the promises. Seeded.
+/// @file Randomized soak of gateway processes on stand-ins of the users' platform. Injects pairs of
+/// faults drawn from a seed and checks the gateway's guarantees afterwards.
 
 #include <gflags/gflags.h>
 #include <signal.h>
@@ -20,66 +20,68 @@
 #include "soak_faults.h"
 
 DEFINE_uint64(seed, 1, "seed of everything random");
-DEFINE_double(minutes, 1, "how long faults are caused");
-DEFINE_uint32(nodes, 4, "gateways, 2 to 200");
+DEFINE_double(minutes, 1, "duration of fault injection, minutes");
+DEFINE_uint32(nodes, 4, "gateway nodes, 2 to 200");
 DEFINE_uint32(engines, 3, "stand-ins of engines, 1 to 64");
 DEFINE_uint32(apps, 3, "stand-ins of application servers, 1 to 64");
 DEFINE_uint32(zones, 1, "zones of the gateways");
 DEFINE_uint32(
     deadly_patience_ms, 800,
-    "how long callers wait whose calls end servers; below crash_after_ms they leave first");
-DEFINE_uint32(crash_after_ms, 20, "from the arrival of a request that ends its server to that end");
+    "timeout of callers that send poison requests, milliseconds; below crash_after_ms they "
+    "disconnect before the crash");
+DEFINE_uint32(crash_after_ms, 20,
+              "time from the arrival of a poison request to the crash, milliseconds");
 DEFINE_bool(all_faults, true,
-            "with the faults that came after the first seeds of tests/soak-seeds.txt were kept; "
-            "without them a seed plays what it played then");
+            "include the faults that were added after the first seeds of tests/soak-seeds.txt; "
+            "false replays those seeds");
 
 namespace {
 
 using namespace frostline;
 using namespace frostline::testing;
 
-constexpr std::uint32_t k_events = 5;
-constexpr std::size_t k_items = 12;
-/// Shorter than jobs.retention_seconds: until then a job that was read whole must be listed again.
-constexpr milliseconds k_kept{100'000};
-/// Reads of one job, 0.1 s apart, before the next one is handed in: under faults, and in calm.
-constexpr int k_reads = 12;
-constexpr int k_calm_reads = 100;
+constexpr std::uint32_t k_events_per_sample = 5;
+constexpr std::size_t k_samples_per_job = 12;
+/// Below jobs.retention_seconds: until then a fully read job must still be listed.
+constexpr milliseconds k_min_job_retention{100'000};
+/// Reads of one job, 0.1 s apart, before the next job is submitted.
+constexpr int k_max_reads_under_faults = 12;
+constexpr int k_max_reads_after_faults = 100;
 constexpr milliseconds k_order_gap{300};
-constexpr char k_added[] = "/added/";
-constexpr char k_first[] = "first";
-constexpr char k_second[] = "second";
+constexpr char k_added_prefix[] = "/added/";
+constexpr char k_first_tenant[] = "first";
+constexpr char k_second_tenant[] = "second";
 constexpr char k_first_key[] = "key-a";
 constexpr char k_second_key[] = "key-b";
-constexpr char k_nobodys_key[] = "key-x";
+constexpr char k_unknown_key[] = "key-x";
 constexpr char k_tenants[] =
     R"([{"name":"first","api_keys":["key-a"]},{"name":"second","api_keys":["key-b"]}])";
-constexpr char k_without_second_key[] =
+constexpr char k_tenants_with_key_revoked[] =
     R"([{"name":"first","api_keys":["key-a"]},{"name":"second","api_keys":[]}])";
-constexpr milliseconds k_fault_time{1500};
-constexpr milliseconds k_quiet_time{700};
-constexpr milliseconds k_frozen_time{2200};
-/// An acceptance is waited for no longer: there is none while faults stop all.
-constexpr milliseconds k_acceptance_limit{1500};
-constexpr milliseconds k_recovery_limit{12'000};
-constexpr milliseconds k_recovery_patience{5000};
-/// A node has heard of everything that long after the last fault.
-constexpr milliseconds k_contact{3000};
-/// How long an application server works on a call: some are under way when it ends.
-constexpr milliseconds k_work_time{8};
+constexpr milliseconds k_fault_duration{1500};
+constexpr milliseconds k_pause_between_faults{700};
+constexpr milliseconds k_suspension_duration{2200};
+/// No job is accepted while a fault stops all nodes.
+constexpr milliseconds k_acceptance_timeout{1500};
+constexpr milliseconds k_recovery_timeout{12'000};
+constexpr milliseconds k_recovery_call_timeout{5000};
+/// Time after the last fault in which all nodes receive all changes.
+constexpr milliseconds k_propagation_time{3000};
+/// Long enough that some calls are in flight when an application server crashes.
+constexpr milliseconds k_call_service_time{8};
 
 class soak {
  public:
   explicit soak(std::uint64_t seed)
       : random_(seed),
         system_(options()),
-        deadly_(system_, k_first_key, seed, milliseconds(FLAGS_deadly_patience_ms)),
+        poison_requests_(system_, k_first_key, seed, milliseconds(FLAGS_deadly_patience_ms)),
         faults_(
-            system_, deadly_, {k_tenants, k_without_second_key}, [this] { wait_for_acceptance(); },
-            FLAGS_all_faults) {
+            system_, poison_requests_, {k_tenants, k_tenants_with_key_revoked},
+            [this] { wait_for_acceptance(); }, FLAGS_all_faults) {
     system_.on_platform([this] {
       for (std::size_t app = 0; app < FLAGS_apps; ++app) {
-        system_.app(app).faults().work_time = k_work_time;
+        system_.app(app).faults().work_time = k_call_service_time;
         system_.app(app).faults().crash_after = milliseconds(FLAGS_crash_after_ms);
       }
       for (std::size_t engine = 0; engine < FLAGS_engines; ++engine) {
@@ -89,43 +91,43 @@
     });
   }
 
-  /// @return whether every promise was kept.
+  /// @return true if every guarantee held.
   bool run(double minutes) {
     time_point const end =
         boot_clock::now() + milliseconds(static_cast<std::int64_t>(minutes * 60'000));
     system_.use_key(k_first_key);
     std::thread caller([this] { call_loop(); });
-    start_training(k_reads);
-    // Of the others any may come, these in each soak.
+    start_training(k_max_reads_under_faults);
+    // Every soak has this pair; the others are random.
     cause_pair(faults_.find("deadly_request"), faults_.find("deadly_job"), 0);
     while (boot_clock::now() < end) cause_random_pair();
-    deadly_.stop();
+    poison_requests_.stop();
     bool const recovered = wait_for_recovery();
-    // With many nodes the judgement takes longer than results are kept.
+    // With many nodes the checks take longer than results are retained.
     finish_training();
-    start_training(k_calm_reads);
-    check_deadly_requests();
+    start_training(k_max_reads_after_faults);
+    check_poison_requests();
     check_added_route();
     finish_training();
-    working_ = false;
+    calling_ = false;
     caller.join();
-    return judge(recovered);
+    return collect_and_report(recovered);
   }
 
  private:
   static platform_options options() {
-    platform_options all;
-    all.nodes = FLAGS_nodes;
-    all.engines = FLAGS_engines;
-    all.apps = FLAGS_apps;
-    all.zones = FLAGS_zones;
-    all.events = k_events;
-    all.event_gap = milliseconds(25);
-    all.proxied_store = true;
-    all.tenants = k_tenants;
-    all.usage_window = milliseconds(500);
-    all.suspendable = true;
-    return all;
+    platform_options settings;
+    settings.nodes = FLAGS_nodes;
+    settings.engines = FLAGS_engines;
+    settings.apps = FLAGS_apps;
+    settings.zones = FLAGS_zones;
+    settings.events = k_events_per_sample;
+    settings.event_gap = milliseconds(25);
+    settings.proxied_store = true;
+    settings.tenants = k_tenants;
+    settings.usage_window = milliseconds(500);
+    settings.suspendable = true;
+    return settings;
   }
 
   std::size_t pick(std::size_t count) {
@@ -144,72 +146,72 @@
   void cause_pair(soak_fault const& first, soak_fault const& second, std::size_t target) {
     std::cout << "fault " << first.name << " + " << second.name << " on " << target % FLAGS_nodes
               << std::endl;
-    bool const two = &first != &second;
+    bool const distinct = &first != &second;
     first.apply(true, target);
-    if (two) second.apply(true, target + 1);
-    caused_ += two ? 2 : 1;
-    bool const frozen = stands_still(first.name) || stands_still(second.name);
-    std::this_thread::sleep_for(frozen ? k_frozen_time : k_fault_time);
+    if (distinct) second.apply(true, target + 1);
+    fault_count_ += distinct ? 2 : 1;
+    bool const suspended = suspends_process(first.name) || suspends_process(second.name);
+    std::this_thread::sleep_for(suspended ? k_suspension_duration : k_fault_duration);
     first.apply(false, target);
-    if (two) second.apply(false, target + 1);
-    std::this_thread::sleep_for(k_quiet_time);
+    if (distinct) second.apply(false, target + 1);
+    std::this_thread::sleep_for(k_pause_between_faults);
   }
 
-  /// Returns right after a job was accepted, or after a while.
+  /// Returns right after a job was accepted, or after a timeout.
   void wait_for_acceptance() {
-    std::uint64_t const before = accepted_;
-    time_point const limit = boot_clock::now() + k_acceptance_limit;
-    while (accepted_ == before && boot_clock::now() < limit) std::this_thread::yield();
+    std::uint64_t const before = accepted_jobs_;
+    time_point const limit = boot_clock::now() + k_acceptance_timeout;
+    while (accepted_jobs_ == before && boot_clock::now() < limit) std::this_thread::yield();
   }
 
-  static bool stands_still(std::string const& fault) {
+  static bool suspends_process(std::string const& fault) {
     for (char const* word : {"freeze", "frozen", "suspend"}) {
       if (fault.find(word) != std::string::npos) return true;
     }
     return false;
   }
 
-  /// Once all nodes are calm, what has ended three servers reaches few more.
-  void check_deadly_requests() {
-    time_point const calm = boot_clock::now() + k_contact;
-    while (boot_clock::now() < calm) is_served();
-    budget_broken_ = deadly_.check([this] { wait_for_recovery(); });
-    seen_.other_requests[k_first] = deadly_.sent();
+  /// Checks that requests which crashed three servers reach few more after the last fault.
+  void check_poison_requests() {
+    time_point const propagated_by = boot_clock::now() + k_propagation_time;
+    while (boot_clock::now() < propagated_by) all_nodes_serve();
+    retry_violations_ = poison_requests_.check([this] { wait_for_recovery(); });
+    records_.other_requests[k_first_tenant] = poison_requests_.sent();
   }
 
-  /// An acknowledged configuration is in force at all nodes in time, though all connections that
-  /// were open when it was acknowledged have gone silent.
+  /// Checks that an acknowledged configuration reaches all nodes in time although all connections
+  /// that were open before have gone silent.
   void check_added_route() {
     wait_for_recovery();
     system_.silence_connections(connected_part::all);
-    time_point const in_force = boot_clock::now() + k_contact;
-    faults_.add_route(k_added);
-    while (boot_clock::now() < in_force) std::this_thread::yield();
+    time_point const in_force_by = boot_clock::now() + k_propagation_time;
+    faults_.add_route(k_added_prefix);
+    while (boot_clock::now() < in_force_by) std::this_thread::yield();
     for (std::size_t node = 0; node < FLAGS_nodes; ++node) {
-      auto const answer = system_.call(node, http::verb::get, std::string(k_added) + "x",
-                                       next_id("a"), "", k_recovery_patience, "");
+      auto const answer = system_.call(node, http::verb::get, std::string(k_added_prefix) + "x",
+                                       next_id("a"), "", k_recovery_call_timeout, "");
       unsigned const status = answer ? answer.value().result_int() : 0;
       if (status == 200) continue;
-      added_route_broken_.push_back(
+      route_violations_.push_back(
           {"configuration in force", "node " + std::to_string(node) + " answers " +
                                          std::to_string(status) + " for an added route"});
     }
   }
 
-  bool is_served() {
+  bool all_nodes_serve() {
     for (std::size_t node = 0; node < FLAGS_nodes; ++node) {
-      // Without a key, so that they count as no tenant's requests.
+      // Without an API key the request counts for no tenant.
       auto const answer = system_.call(node, http::verb::get, "/open/recovery", next_id("r"), "",
-                                       k_recovery_patience, "");
+                                       k_recovery_call_timeout, "");
       if (!answer || answer.value().result_int() != 200) return false;
     }
     return true;
   }
 
   bool wait_for_recovery() {
-    time_point const limit = boot_clock::now() + k_recovery_limit;
+    time_point const limit = boot_clock::now() + k_recovery_timeout;
     while (boot_clock::now() < limit) {
-      if (is_served()) return true;
+      if (all_nodes_serve()) return true;
     }
     return false;
   }
@@ -217,46 +219,46 @@
   std::string next_id(std::string const& kind) { return kind + "-" + std::to_string(next_id_++); }
 
   void call_loop() {
-    while (working_) {
-      call_record one;
-      one.repeatable = pick(2) == 0;
-      one.request = next_id("call");
-      std::string const path = one.repeatable ? "/calls/x" : "/once/x";
+    while (calling_) {
+      call_record call;
+      call.repeatable = pick(2) == 0;
+      call.request = next_id("call");
+      std::string const path = call.repeatable ? "/calls/x" : "/once/x";
       std::size_t const choice = pick(5);
       std::string const key =
-          choice == 0 ? k_nobodys_key : (choice < 3 ? k_first_key : k_second_key);
-      if (choice > 0) one.tenant = choice < 3 ? k_first : k_second;
-      auto const answer = system_.call(pick(FLAGS_nodes), http::verb::post, path, one.request, "b",
+          choice == 0 ? k_unknown_key : (choice < 3 ? k_first_key : k_second_key);
+      if (choice > 0) call.tenant = choice < 3 ? k_first_tenant : k_second_tenant;
+      auto const answer = system_.call(pick(FLAGS_nodes), http::verb::post, path, call.request, "b",
                                        milliseconds(1500), key);
       if (answer) {
-        one.status = answer.value().result_int();
-        one.body = answer.value().body();
+        call.status = answer.value().result_int();
+        call.body = answer.value().body();
       }
-      seen_.calls.push_back(std::move(one));
+      records_.calls.push_back(std::move(call));
     }
   }
 
-  /// @param most_reads of one job before the next one is handed in.
-  void start_training(int most_reads) {
+  /// @param max_reads reads of one job before the next job is submitted.
+  void start_training(int max_reads) {
     training_ = true;
-    trainer_ = std::thread([this, most_reads] { train_loop(most_reads); });
+    trainer_ = std::thread([this, max_reads] { train_loop(max_reads); });
   }
 
-  /// Ends the training and reads what has not been read yet.
+  /// Stops the trainer thread and reads the remaining results.
   void finish_training() {
     training_ = false;
     trainer_.join();
     finish_jobs();
   }
 
-  void train_loop(int most_reads) {
+  void train_loop(int max_reads) {
     while (training_) {
       std::uint64_t const version = faults_.newest_version();
       job_record job;
       job.job = next_id("job");
       job.min_version = version > 1 ? version - 1 : 1;
       std::vector<test_item> items;
-      for (std::size_t index = 0; index < k_items; ++index) {
+      for (std::size_t index = 0; index < k_samples_per_job; ++index) {
         job.items.push_back(job.job + "i" + std::to_string(index));
         items.push_back({job.items.back(), "g" + std::to_string(index / 4)});
         items.back().scorer_path = "/open/score";
@@ -265,129 +267,128 @@
         job.accepted = system_.submit(pick(FLAGS_nodes), job.job, items, job.min_version) == 202;
       }
       if (job.accepted) {
-        ++accepted_;
+        ++accepted_jobs_;
         accepted_at_[job.job] = boot_clock::now();
       }
-      for (int reads = 0; reads < most_reads && job.accepted; ++reads) {
-        if (read(job.job) == k_items) break;
+      for (int reads = 0; reads < max_reads && job.accepted; ++reads) {
+        if (read_results(job.job) == k_samples_per_job) break;
         std::this_thread::sleep_for(milliseconds(100));
       }
-      if (job.accepted && pick(3) == 0) end(job);
-      seen_.jobs.push_back(std::move(job));
-      faults_.name_next();
+      if (job.accepted && pick(3) == 0) end_job(job);
+      records_.jobs.push_back(std::move(job));
+      faults_.announce_next_version();
     }
-    seen_.newest_version = faults_.newest_version();
+    records_.newest_version = faults_.newest_version();
   }
 
-  /// @return results listed.
-  std::size_t read(std::string const& job) {
+  /// @return number of results in the list.
+  std::size_t read_results(std::string const& job) {
     auto const answer = system_.results(pick(FLAGS_nodes), job);
     if (!answer) return 0;
-    read_record one;
-    one.job = job;
-    one.at = boot_clock::now();
-    one.results = answer->at("results").as_array();
-    std::size_t const count = one.results.size();
-    seen_.reads.push_back(std::move(one));
-    if (count == k_items) whole_jobs_.insert(job);
+    read_record record;
+    record.job = job;
+    record.at = boot_clock::now();
+    record.results = answer->at("results").as_array();
+    std::size_t const count = record.results.size();
+    records_.reads.push_back(std::move(record));
+    if (count == k_samples_per_job) fully_read_jobs_.insert(job);
     return count;
   }
 
-  void end(job_record& job) {
+  void end_job(job_record& job) {
     job.ended = system_.end_job(pick(FLAGS_nodes), job.job) == 200;
     job.ended_at = boot_clock::now();
-    // An end without an answer may have been stored: whether the job goes on is open.
+    // Without a response the job may or may not have ended, so the checker ignores it.
     if (!job.ended) job.accepted = false;
   }
 
-  /// Whether a job was read whole, so long after its acceptance that it is kept no more.
-  bool may_be_forgotten(std::string const& job) const {
-    return whole_jobs_.contains(job) && boot_clock::now() > accepted_at_.at(job) + k_kept;
+  /// Returns true if the job was read fully and its retention may have ended.
+  bool may_be_deleted(std::string const& job) const {
+    return fully_read_jobs_.contains(job) &&
+           boot_clock::now() > accepted_at_.at(job) + k_min_job_retention;
   }
 
   void finish_jobs() {
     time_point const limit = boot_clock::now() + seconds(25);
-    for (job_record const& job : seen_.jobs) {
-      if (!job.accepted || job.ended || may_be_forgotten(job.job)) continue;
-      while (boot_clock::now() < limit && read(job.job) < job.items.size()) {
+    for (job_record const& job : records_.jobs) {
+      if (!job.accepted || job.ended || may_be_deleted(job.job)) continue;
+      while (boot_clock::now() < limit && read_results(job.job) < job.items.size()) {
         std::this_thread::sleep_for(milliseconds(50));
       }
     }
   }
 
-  bool judge(bool recovered) {
+  bool collect_and_report(bool recovered) {
     system_.on_platform([this] {
       for (std::size_t index = 0; index < FLAGS_engines; ++index) {
-        seen_.arrivals[system_.engine(index).id()] = system_.engine(index).arrivals();
-        seen_.orders[system_.engine(index).id()] = system_.engine(index).orders();
+        records_.arrivals[system_.engine(index).id()] = system_.engine(index).arrivals();
+        records_.orders[system_.engine(index).id()] = system_.engine(index).orders();
       }
       for (std::size_t index = 0; index < FLAGS_apps; ++index) {
-        seen_.arrivals[system_.app(index).id()] = system_.app(index).arrivals();
+        records_.arrivals[system_.app(index).id()] = system_.app(index).arrivals();
       }
       return 0;
     });
-    seen_.events = k_events;
-    seen_.order_gap = k_order_gap;
-    seen_.job_tenant = k_first;
+    records_.events = k_events_per_sample;
+    records_.order_gap = k_order_gap;
+    records_.job_tenant = k_first_tenant;
     system_.on_platform([this] {
-      seen_.duty_violations = system_.duties().violations(k_order_gap);
-      for (char const* tenant : {k_first, k_second}) {
-        seen_.reported[tenant] = system_.duties().reported(tenant);
+      records_.duty_violations = system_.duties().violations(k_order_gap);
+      for (char const* tenant : {k_first_tenant, k_second_tenant}) {
+        records_.reported[tenant] = system_.duties().reported(tenant);
       }
-      seen_.reports = system_.duties().calls().size();
+      records_.reports = system_.duties().calls().size();
       return 0;
     });
     soak_counts counts;
-    auto broken = check_soak(seen_, counts);
-    broken.insert(broken.end(), budget_broken_.begin(), budget_broken_.end());
-    broken.insert(broken.end(), added_route_broken_.begin(), added_route_broken_.end());
+    auto broken = check_soak(records_, counts);
+    broken.insert(broken.end(), retry_violations_.begin(), retry_violations_.end());
+    broken.insert(broken.end(), route_violations_.begin(), route_violations_.end());
     if (!recovered) broken.push_back({"recovery", "not served by all nodes within 12 s"});
-    for (broken_promise const& one : broken) {
-      std::cout << "BROKEN " << one.promise << ": " << one.detail << '\n';
+    for (broken_promise const& violation : broken) {
+      std::cout << "BROKEN " << violation.promise << ": " << violation.detail << '\n';
     }
-    bool const judged = counts.requests > 0 && counts.samples > 0 && counts.positions > 0 &&
-                        counts.tenants > 0 && seen_.reports > 0;
-    std::cout << "seed " << FLAGS_seed << ": " << caused_ << " faults, " << counts.requests
+    bool const covered = counts.requests > 0 && counts.samples > 0 && counts.positions > 0 &&
+                         counts.tenants > 0 && records_.reports > 0;
+    std::cout << "seed " << FLAGS_seed << ": " << fault_count_ << " faults, " << counts.requests
               << " requests, " << counts.samples << " samples, " << counts.positions
               << " positions, " << counts.orders << " orders, " << counts.tenants << " tenants, "
-              << seen_.reports << " reports, " << deadly_.judged() << " of " << deadly_.count()
-              << " deadly requests judged; " << broken.size() << " promises broken; logs in "
-              << system_.folder() << std::endl;
-    return broken.empty() && judged;
+              << records_.reports << " reports, " << poison_requests_.retries_checked() << " of "
+              << poison_requests_.count() << " poison requests checked; " << broken.size()
+              << " violations; logs in " << system_.folder() << std::endl;
+    return broken.empty() && covered;
   }
 
   std::mt19937_64 random_;
   std::mutex random_mutex_;
   platform_cluster system_;
-  std::atomic<bool> working_ = true;
+  std::atomic<bool> calling_ = true;
   std::atomic<bool> training_ = false;
   std::thread trainer_;
-  /// When jobs were accepted, and those of which all results were read; of the thread that trains,
-  /// else of the main one.
+  /// Used by the trainer thread while it runs, by the main thread otherwise.
   std::map<std::string, time_point> accepted_at_;
-  std::set<std::string> whole_jobs_;
+  std::set<std::string> fully_read_jobs_;
   std::atomic<std::uint64_t> next_id_ = 0;
-  /// Jobs that were accepted.
-  std::atomic<std::uint64_t> accepted_ = 0;
-  std::size_t caused_ = 0;
-  soak_records seen_;
-  std::vector<broken_promise> budget_broken_;
-  std::vector<broken_promise> added_route_broken_;
-  deadly_requests deadly_;
+  std::atomic<std::uint64_t> accepted_jobs_ = 0;
+  std::size_t fault_count_ = 0;
+  soak_records records_;
+  std::vector<broken_promise> retry_violations_;
+  std::vector<broken_promise> route_violations_;
+  poison_requests poison_requests_;
   soak_faults faults_;
 };
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  gflags::SetUsageMessage("Faults in pairs around gateways on stand-ins of the platform.");
+  gflags::SetUsageMessage("Injects pairs of faults into gateways on stand-ins of the platform.");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   bool const fits = FLAGS_nodes >= 2 && FLAGS_nodes <= 200 && FLAGS_engines >= 1 &&
                     FLAGS_engines <= 64 && FLAGS_apps >= 1 && FLAGS_apps <= 64 && FLAGS_zones >= 1;
   if (!fits) {
-    std::cerr << "The numbers of nodes, engines, apps and zones are out of their bounds.\n";
+    std::cerr << "--nodes, --engines, --apps or --zones is out of range\n";
     return 2;
   }
-  soak one(FLAGS_seed);
-  return one.run(FLAGS_minutes) ? 0 : 1;
+  soak test(FLAGS_seed);
+  return test.run(FLAGS_minutes) ? 0 : 1;
 }
