--- a/rehearsal/deadly_requests.cc
+++ b/rehearsal/deadly_requests.cc
@@ -114,7 +114,7 @@
 }
 
 void deadly_requests::judge(std::string const& mark, time_point calm_since,
-                            std::vector<broken_promise>& broken) {
+                            std::vector<violation>& broken) {
   auto const times = crashes(mark);
   if (times.size() < k_crashes_allowed) return;
   ++judged_;
@@ -128,7 +128,7 @@
 }
 
 void deadly_requests::check_call(std::size_t call, std::function<void()> const& wait_for_service,
-                                 std::vector<broken_promise>& broken) {
+                                 std::vector<violation>& broken) {
   time_point const begin = boot_clock::now();
   if (crashes(mark_of_call(call)).size() < k_crashes_allowed) return;
   for (std::size_t number = 0; number < k_tries_a_node * system_.nodes(); ++number) {
@@ -149,7 +149,7 @@
 }
 
 void deadly_requests::check_job(std::size_t number, std::function<void()> const& wait_for_service,
-                                std::vector<broken_promise>& broken) {
+                                std::vector<violation>& broken) {
   time_point const begin = boot_clock::now();
   std::string const first = name_of_job(number);
   std::string job = first;
@@ -170,8 +170,8 @@
   judge(mark_of_scorer(number), begin, broken);
 }
 
-std::vector<broken_promise> deadly_requests::check(std::function<void()> const& wait_for_service) {
-  std::vector<broken_promise> broken;
+std::vector<violation> deadly_requests::check(std::function<void()> const& wait_for_service) {
+  std::vector<violation> broken;
   for (std::size_t call = 1; call <= calls_; ++call) check_call(call, wait_for_service, broken);
   for (std::size_t job = 1; job <= jobs_; ++job) check_job(job, wait_for_service, broken);
   return broken;
--- a/rehearsal/deadly_requests.h
+++ b/rehearsal/deadly_requests.h
@@ -36,7 +36,7 @@
   /// @param wait_for_service waits until others are served.
   /// @return requests that still reached servers more often than is allowed, and jobs whose
   /// harmless samples were not finished.
-  std::vector<broken_promise> check(std::function<void()> const& wait_for_service);
+  std::vector<violation> check(std::function<void()> const& wait_for_service);
   std::size_t count() const { return calls_ + 2 * jobs_; }
   /// Tries of all calls.
   std::uint64_t sent() const { return next_id_; }
@@ -51,11 +51,11 @@
   /// When servers ended under the request with this mark, in order.
   std::vector<time_point> crashes(std::string const& mark);
   /// @param calm_since from then on no node is disturbed.
-  void judge(std::string const& mark, time_point calm_since, std::vector<broken_promise>& broken);
+  void judge(std::string const& mark, time_point calm_since, std::vector<violation>& broken);
   void check_call(std::size_t call, std::function<void()> const& wait_for_service,
-                  std::vector<broken_promise>& broken);
+                  std::vector<violation>& broken);
   void check_job(std::size_t number, std::function<void()> const& wait_for_service,
-                 std::vector<broken_promise>& broken);
+                 std::vector<violation>& broken);
 
   platform_cluster& system_;
   std::string key_;
--- a/rehearsal/demo.cc
+++ b/rehearsal/demo.cc
@@ -46,7 +46,7 @@
   wait_for_batches(system, 5);
   say("draining " + cluster::engine_name(k_drained_engine));
   system.drain(cluster::engine_name(k_drained_engine));
-  system.note_leaving(cluster::engine_name(k_drained_engine));
+  system.record_removal(cluster::engine_name(k_drained_engine));
   wait_for_batches(system, 8);
   say("stopping " + cluster::node_name(k_stopped_node) + " by SIGTERM");
   system.process(cluster::node_name(k_stopped_node)).send_signal(SIGTERM);
--- a/rehearsal/measure_control.cc
+++ b/rehearsal/measure_control.cc
@@ -57,20 +57,20 @@
       : nodes_(nodes),
         engines_(engines),
         folder_(testing::make_run_folder("frostline-hollow")),
-        address_(testing::own_loopback_address()),
+        address_(testing::unique_loopback_address()),
         kv_(testing::free_endpoint(address_)),
         machines_(testing::free_endpoint(address_)) {
     start("frostline-standin", "kv", {"kv", "--listen=" + kv_.to_string()}, kv_);
     start("frostline-standin", "machines", {"machines", "--listen=" + machines_.to_string()},
           machines_);
-    endpoint const control = testing::free_endpoint(testing::own_loopback_address());
+    endpoint const control = testing::free_endpoint(testing::unique_loopback_address());
     start("frostline-load", "engines",
           {"hollow-engines", "--machines=" + machines_.to_string(),
            "--control=" + control.to_string(), "--count=" + std::to_string(engines),
            "--zones=" + std::to_string(k_zones)},
           control);
     for (std::uint32_t zone = 0; zone < k_zones; ++zone) {
-      controls_.push_back(testing::free_endpoint(testing::own_loopback_address()));
+      controls_.push_back(testing::free_endpoint(testing::unique_loopback_address()));
       start_zone(zone);
     }
   }
--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -89,7 +89,7 @@
     });
   }
 
-  /// @return whether every promise was kept.
+  /// @return whether every invariant was kept.
   bool run(double minutes) {
     time_point const end =
         boot_clock::now() + milliseconds(static_cast<std::int64_t>(minutes * 60'000));
@@ -342,8 +342,8 @@
     broken.insert(broken.end(), budget_broken_.begin(), budget_broken_.end());
     broken.insert(broken.end(), added_route_broken_.begin(), added_route_broken_.end());
     if (!recovered) broken.push_back({"recovery", "not served by all nodes within 12 s"});
-    for (broken_promise const& one : broken) {
-      std::cout << "BROKEN " << one.promise << ": " << one.detail << '\n';
+    for (violation const& one : broken) {
+      std::cout << "BROKEN " << one.invariant << ": " << one.detail << '\n';
     }
     bool const judged = counts.requests > 0 && counts.samples > 0 && counts.positions > 0 &&
                         counts.tenants > 0 && seen_.reports > 0;
@@ -371,8 +371,8 @@
   std::atomic<std::uint64_t> accepted_ = 0;
   std::size_t caused_ = 0;
   soak_records seen_;
-  std::vector<broken_promise> budget_broken_;
-  std::vector<broken_promise> added_route_broken_;
+  std::vector<violation> budget_broken_;
+  std::vector<violation> added_route_broken_;
   deadly_requests deadly_;
   soak_faults faults_;
 };
--- a/rehearsal/soak_faults.cc
+++ b/rehearsal/soak_faults.cc
@@ -178,7 +178,7 @@
   add("writes_late", [this](bool on, std::size_t) {
     on_store([on](store_faults& faults) {
       faults.late_transactions = on ? 2 : 0;
-      faults.lateness = milliseconds(1800);
+      faults.commit_delay = milliseconds(1800);
     });
   });
   add("leases_lapse", [this](bool on, std::size_t) {
@@ -318,7 +318,7 @@
   add_silence("all_connections_silent", connected_part::all);
   add("watches_forgotten", [this](bool on, std::size_t) {
     if (!on) return;
-    system_.on_platform([this] { return system_.store().forget_watches(); });
+    system_.on_platform([this] { return system_.store().stall_watches(); });
   });
 }
 
--- a/tests/integration/exactly_once_test.cc
+++ b/tests/integration/exactly_once_test.cc
@@ -71,7 +71,7 @@
             system.node(killed), "TrainerService", "PullBatch", request, milliseconds(10'000))
         .has_value();
   });
-  system.wait_for_held_up_write("the commit is on its way");
+  system.wait_for_delayed_write("the commit is on its way");
   system.process(cluster::node_name(killed)).kill();
   CHECK_FALSE(pulling.get());
   system.set_faults(system.kv(), {{"slow_ms", 0}});
--- a/tests/integration/freshness_test.cc
+++ b/tests/integration/freshness_test.cc
@@ -39,7 +39,7 @@
       // As fast as delivery goes on: faster, and no sample could be within its bound.
       bool const due = kept >= published_at + 4;
       if (!due) {
-        wait_a_moment();
+        pause_before_retry();
         continue;
       }
       published_at = kept;
@@ -76,7 +76,7 @@
         system.node(owner), "TrainerService", "PullBatch", request, milliseconds(10'000));
     if (answer) trainer.keep(answer.value());
   });
-  system.wait_for_held_up_write("the commit is on its way");
+  system.wait_for_delayed_write("the commit is on its way");
   system.publish("main", 2, (owner + 1) % 3);
   system.publish("main", 3, (owner + 1) % 3);
   puller.join();
--- a/tests/integration/late_commit_test.cc
+++ b/tests/integration/late_commit_test.cc
@@ -46,7 +46,7 @@
     handed_out = answer.value().batch->samples.size();
     trainer.keep(answer.value());
   });
-  system.wait_for_held_up_write("the commit has taken effect");
+  system.wait_for_delayed_write("the commit has taken effect");
   system.publish("main", 2, (owner + 1) % 3);
   system.publish("main", 3, (owner + 1) % 3);
   puller.join();
--- a/tests/integration/leaving_test.cc
+++ b/tests/integration/leaving_test.cc
@@ -88,7 +88,7 @@
   system.publish("main", 1);
   test_trainer trainer(system, "main");
   system.set_faults(system.engine(0), {{"leaving", true}});
-  system.note_leaving("engine-0");
+  system.record_removal("engine-0");
   cluster::wait_until("the controller knows", [&] {
     for (auto const& engine : system.status(0).engines) {
       if (engine->id == "engine-0") return engine->state == "leaving";
--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -71,7 +71,7 @@
 
   /// How often the request reached a server once the bound held.
   std::size_t late_arrivals() {
-    auto const times = deadly_arrivals(system);
+    auto const times = poison_arrivals(system);
     if (times.size() < k_crashes_allowed) return 0;
     time_point const bound = times[k_crashes_allowed - 1] + k_contact;
     return static_cast<std::size_t>(
@@ -79,7 +79,7 @@
   }
 
   bool is_bound_in_force() {
-    auto const times = deadly_arrivals(system);
+    auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
            boot_clock::now() > times[k_crashes_allowed - 1] + k_contact;
   }
@@ -146,7 +146,7 @@
     });
   });
   LONGS_EQUAL(502, try_deadly("/calls/x"));
-  LONGS_EQUAL(3, deadly_arrivals(system).size());
+  LONGS_EQUAL(3, poison_arrivals(system).size());
 }
 
 TEST(crashing_request_test, unsafe_request_reaches_servers_no_more_after_three_have_ended) {
@@ -217,7 +217,7 @@
 
 TEST(crashing_request_test, quarantine_outlasts_the_end_of_every_node) {
   keep_trying("/calls/x");
-  std::size_t const before = deadly_arrivals(system).size();
+  std::size_t const before = poison_arrivals(system).size();
   for (std::size_t node = 0; node < system.nodes(); ++node) system.node(node).kill();
   for (std::size_t node = 0; node < system.nodes(); ++node) system.start_node(node);
   for (std::size_t node = 0; node < system.nodes(); ++node) {
@@ -230,18 +230,18 @@
     });
   }
   // The record takes a moment to take effect on a node that has just started.
-  CHECK(deadly_arrivals(system).size() <= before + system.nodes() * k_crashes_allowed);
-  std::size_t const after = deadly_arrivals(system).size();
+  CHECK(poison_arrivals(system).size() <= before + system.nodes() * k_crashes_allowed);
+  std::size_t const after = poison_arrivals(system).size();
   for (std::size_t number = 0; number < k_late_tries; ++number) {
     wait_for_service("/calls/x");
     try_deadly("/calls/x");
   }
-  CHECK(deadly_arrivals(system).size() <= after + 1);
+  CHECK(poison_arrivals(system).size() <= after + 1);
 }
 
 TEST(crashing_request_test, request_is_served_again_once_the_servers_bear_it) {
   platform_cluster::wait_until("three servers have ended and there is a record", [&] {
-    if (deadly_arrivals(system).size() < k_crashes_allowed) try_deadly("/calls/x");
+    if (poison_arrivals(system).size() < k_crashes_allowed) try_deadly("/calls/x");
     return quarantine_records() == 1;
   });
   system.set_crash_text("");
@@ -281,7 +281,7 @@
   });
   platform_cluster::wait_until("three servers have ended", [&] {
     try_deadly("/calls/x");
-    return deadly_arrivals(system).size() >= k_crashes_allowed;
+    return poison_arrivals(system).size() >= k_crashes_allowed;
   });
   system.on_platform([&] {
     system.store().faults().silent = false;
@@ -292,12 +292,12 @@
     try_deadly("/calls/x");
     return boot_clock::now() > back + k_contact;
   });
-  std::size_t const before = deadly_arrivals(system).size();
+  std::size_t const before = poison_arrivals(system).size();
   for (std::size_t number = 0; number < k_late_tries; ++number) {
     wait_for_service("/calls/x");
     try_deadly("/calls/x");
   }
-  CHECK(deadly_arrivals(system).size() <= before + k_retries_allowed);
+  CHECK(poison_arrivals(system).size() <= before + k_retries_allowed);
 }
 
 TEST(crashing_request_test, wide_crash_under_a_popular_request_refuses_nothing) {
--- a/tests/platform/cut_runs_test.cc
+++ b/tests/platform/cut_runs_test.cc
@@ -66,13 +66,13 @@
   }
 
   bool is_bound_in_force() {
-    auto const times = deadly_arrivals(system);
+    auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
            boot_clock::now() > times[k_crashes_allowed - 1] + k_contact;
   }
 
   std::size_t late_arrivals() {
-    auto const times = deadly_arrivals(system);
+    auto const times = poison_arrivals(system);
     if (times.size() < k_crashes_allowed) return 0;
     time_point const bound = times[k_crashes_allowed - 1] + k_contact;
     return static_cast<std::size_t>(
@@ -95,7 +95,7 @@
   /// others are served by the node that is tried next.
   void wait_for_service(std::string const& path) {
     platform_cluster::wait_until("servers are back", [&] {
-      auto const times = deadly_arrivals(system);
+      auto const times = poison_arrivals(system);
       bool const over = times.empty() || boot_clock::now() > times.back() + 2 * crash_after;
       return over && !is_any_server_down();
     });
@@ -108,10 +108,10 @@
   }
 
   /// A caller closes its connection.
-  void call_and_leave(std::string const& path) {
+  void call_and_disconnect(std::string const& path) {
     std::size_t const number = next_try++;
-    system.call_and_leave(number % system.nodes(), path, "deadly-" + std::to_string(number),
-                          k_deadly, k_short_patience);
+    system.call_and_disconnect(number % system.nodes(), path, "deadly-" + std::to_string(number),
+                               k_deadly, k_short_patience);
   }
 
   /// A caller says that it waits no longer than that.
@@ -137,19 +137,19 @@
 
 TEST(cut_runs_test, safe_call_whose_callers_leave_reaches_servers_no_more) {
   end_servers_after(k_slow_crash);
-  keep_trying("/calls/x", [&] { call_and_leave("/calls/x"); });
+  keep_trying("/calls/x", [&] { call_and_disconnect("/calls/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
 TEST(cut_runs_test, unsafe_call_whose_callers_leave_reaches_servers_no_more) {
   end_servers_after(k_slow_crash);
-  keep_trying("/once/x", [&] { call_and_leave("/once/x"); });
+  keep_trying("/once/x", [&] { call_and_disconnect("/once/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
 TEST(cut_runs_test, stream_whose_readers_leave_reaches_servers_no_more) {
   end_servers_after(k_slow_crash);
-  keep_trying("/stream/x", [&] { call_and_leave("/stream/x"); });
+  keep_trying("/stream/x", [&] { call_and_disconnect("/stream/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
@@ -194,7 +194,7 @@
     }
     return 0;
   });
-  for (std::size_t number = 0; number < k_late_tries; ++number) call_and_leave("/calls/x");
+  for (std::size_t number = 0; number < k_late_tries; ++number) call_and_disconnect("/calls/x");
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     auto const answer = system.call(node, http::verb::post, "/calls/x",
                                     "stays-" + std::to_string(node), k_deadly, k_patience);
--- a/tests/platform/jobs_test.cc
+++ b/tests/platform/jobs_test.cc
@@ -326,7 +326,7 @@
   LONGS_EQUAL(202, system.submit(0, "lost", make_items("lost", 4)));
   system.on_platform([&] {
     system.store().faults().late_transactions = 1;
-    system.store().faults().lateness = milliseconds(500);
+    system.store().faults().commit_delay = milliseconds(500);
     return 0;
   });
   LONGS_EQUAL(202, system.submit(1, "late", make_items("late", 4)));
@@ -358,7 +358,7 @@
 TEST(jobs_test, machine_that_is_to_be_emptied_is_reported_empty) {
   platform_cluster system{platform_options()};
   system.owner();
-  system.ask_to_empty("storage-1");
+  system.request_evacuation("storage-1");
   platform_cluster::wait_until("the report is there",
                                [&] { return system.is_reported_empty("storage-1"); });
 }
--- a/tests/platform/server_records_test.cc
+++ b/tests/platform/server_records_test.cc
@@ -99,7 +99,7 @@
     });
   }
   CHECK(before < system.on_platform([&] { return system.engine(0).orders().size(); }));
-  LONGS_EQUAL(0, system.on_platform([&] { return system.engine(0).misjudged_orders(); }));
+  LONGS_EQUAL(0, system.on_platform([&] { return system.engine(0).conflicting_orders(); }));
 }
 
 TEST(server_records_test, all_nodes_tell_the_lives_of_a_server_apart) {
--- a/tests/platform/silent_connections_test.cc
+++ b/tests/platform/silent_connections_test.cc
@@ -155,7 +155,7 @@
      change_is_in_force_in_time_though_waiting_watches_are_never_answered) {
   settle();
   time_point const begin = boot_clock::now();
-  on_platform([&] { CHECK(system.store().forget_watches() > 0); });
+  on_platform([&] { CHECK(system.store().stall_watches() > 0); });
   add_route_and_wait();
   CHECK(boot_clock::now() - begin < k_in_touch);
 }
@@ -181,7 +181,7 @@
   settle();
   time_point const begin = boot_clock::now();
   on_platform([&] {
-    CHECK(system.store().forget_watches() > 0);
+    CHECK(system.store().stall_watches() > 0);
     system.announce(system.app(0), "draining");
   });
   platform_cluster::wait_until("all know of the drain", [&] { return all_say("Server drains"); });
@@ -192,7 +192,7 @@
   settle();
   time_point const begin = boot_clock::now();
   on_platform([&] {
-    CHECK(system.store().forget_watches() > 0);
+    CHECK(system.store().stall_watches() > 0);
     system.name_version(2);
   });
   platform_cluster::wait_until("an engine is ordered", [&] {
--- a/tests/platform/soak_checker_test.cc
+++ b/tests/platform/soak_checker_test.cc
@@ -1,4 +1,4 @@
-/// @file The soak's checker sees each promise that is broken, and nothing where none is.
+/// @file The soak's checker sees each invariant that is broken, and nothing where none is.
 
 #include "soak_checker.h"
 
@@ -77,12 +77,12 @@
     return seen.reads.back().results[place].as_object();
   }
 
-  void check_breaks(std::string const& promise) {
+  void check_breaks(std::string const& invariant) {
     soak_counts counts;
     auto const broken = check_soak(seen, counts);
     bool found = false;
-    for (auto const& one : broken) found = found || one.promise == promise;
-    CHECK_TEXT(found, promise.c_str());
+    for (auto const& one : broken) found = found || one.invariant == invariant;
+    CHECK_TEXT(found, invariant.c_str());
   }
 };
 
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -96,7 +96,7 @@
     std::size_t const before = crashes();
     std::string const id = "slept-" + std::to_string(before);
     auto call = std::async(std::launch::async, [&] {
-      system.call_and_leave(node, "/once/x", id, k_deadly, callers_patience);
+      system.call_and_disconnect(node, "/once/x", id, k_deadly, callers_patience);
     });
     platform_cluster::wait_until("the call is at a server",
                                  [&] { return count_arrivals(system, id) > 0; });
@@ -157,8 +157,8 @@
     });
     platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
-      system.call_and_leave(node, "/calls/x", "left-" + std::to_string(next_other++), "b",
-                            milliseconds(10));
+      system.call_and_disconnect(node, "/calls/x", "left-" + std::to_string(next_other++), "b",
+                                 milliseconds(10));
     }
     wait_for_service(number % system.nodes());
   }
--- a/tests/platform_standin/cluster_queries.cc
+++ b/tests/platform_standin/cluster_queries.cc
@@ -39,7 +39,7 @@
   return options;
 }
 
-std::vector<time_point> deadly_arrivals(platform_cluster& system) {
+std::vector<time_point> poison_arrivals(platform_cluster& system) {
   std::vector<time_point> times = system.on_platform([&] {
     std::vector<time_point> all;
     auto const take = [&](server_standin const& from) {
--- a/tests/platform_standin/cluster_queries.h
+++ b/tests/platform_standin/cluster_queries.h
@@ -16,7 +16,7 @@
 /// Of these, the ones that were run.
 std::size_t count_runs(platform_cluster& system, std::string const& prefix);
 /// Times at which a request that ends its servers reached one, in their order.
-std::vector<time_point> deadly_arrivals(platform_cluster& system);
+std::vector<time_point> poison_arrivals(platform_cluster& system);
 /// Records of the store whose keys begin so.
 std::size_t count_records(platform_cluster& system, std::string const& prefix);
 /// Key prefix of the records of requests that are kept from servers, or suspected.
--- a/tests/platform_standin/platform_cluster.cc
+++ b/tests/platform_standin/platform_cluster.cc
@@ -76,7 +76,7 @@
 platform_cluster::platform_cluster(platform_options options)
     : options_(options),
       folder_(make_run_folder("platform")),
-      address_(own_loopback_address()),
+      address_(unique_loopback_address()),
       store_address_(free_endpoint(address_)) {
   store_ = std::make_unique<store_standin>(context_, store_address_);
   duties_address_ = free_endpoint(address_);
@@ -346,9 +346,9 @@
   return exchange(node, make_call(method, path, request_id, body, timeout, key), timeout);
 }
 
-void platform_cluster::call_and_leave(std::size_t node, std::string const& path,
-                                      std::string const& request_id, std::string const& body,
-                                      milliseconds patience) {
+void platform_cluster::call_and_disconnect(std::size_t node, std::string const& path,
+                                           std::string const& request_id, std::string const& body,
+                                           milliseconds patience) {
   constexpr milliseconds k_told_deadline{5000};
   auto const message =
       make_call(http::verb::post, path, request_id, body, k_told_deadline, std::nullopt);
@@ -384,7 +384,7 @@
   return std::string(http::header(answer, "X-Frostline-Server-Stamp"));
 }
 
-void platform_cluster::ask_to_empty(std::string const& machine) {
+void platform_cluster::request_evacuation(std::string const& machine) {
   on_platform([&] {
     store_->put("op/retire/" + machine, "{\"duration_s\":10}");
     return 0;
--- a/tests/platform_standin/platform_cluster.h
+++ b/tests/platform_standin/platform_cluster.h
@@ -127,8 +127,8 @@
                               milliseconds timeout = milliseconds(5000),
                               std::optional<std::string> const& key = std::nullopt);
   /// A client that says it waits for seconds, and closes its connection after `patience` instead.
-  void call_and_leave(std::size_t node, std::string const& path, std::string const& request_id,
-                      std::string const& body, milliseconds patience);
+  void call_and_disconnect(std::size_t node, std::string const& path, std::string const& request_id,
+                           std::string const& body, milliseconds patience);
   unsigned submit(std::size_t node, std::string const& job, std::vector<test_item> const& items,
                   std::uint64_t min_version = 1);
   /// Ends a job. @return the status; 0 without an answer.
@@ -139,7 +139,7 @@
   /// An answer's proof that it is a server's own.
   static std::string stamp_of(http::response const& answer);
   /// Asks for a storage machine to be emptied, as an operator does.
-  void ask_to_empty(std::string const& machine);
+  void request_evacuation(std::string const& machine);
   bool is_reported_empty(std::string const& machine);
   /// Status with which a node answers a call for a job's results; 0 without an answer.
   unsigned results_status(std::size_t node, std::string const& job);
--- a/tests/platform_standin/server_standin.h
+++ b/tests/platform_standin/server_standin.h
@@ -107,7 +107,7 @@
   std::vector<order_arrival> const& orders() const { return orders_; }
   std::uint64_t version() const { return version_; }
   /// Orders that were refused since they expected another count.
-  std::uint32_t misjudged_orders() const { return misjudged_orders_; }
+  std::uint32_t conflicting_orders() const { return misjudged_orders_; }
   void set_keeps_id(bool keeps) { options_.keeps_id = keeps; }
   /// When this life began, Unix milliseconds.
   std::uint64_t born() const { return born_; }
--- a/tests/platform_standin/soak_checker.cc
+++ b/tests/platform_standin/soak_checker.cc
@@ -11,7 +11,7 @@
 /// Time after an acknowledged end in which its items may still reach a server.
 constexpr milliseconds k_cancel_time{3000};
 
-using broken_list = std::vector<broken_promise>;
+using broken_list = std::vector<violation>;
 
 std::map<std::string, std::uint32_t> count_runs(soak_records const& seen) {
   std::map<std::string, std::uint32_t> runs;
@@ -182,7 +182,7 @@
 
 }  // namespace
 
-std::vector<broken_promise> check_soak(soak_records const& seen, soak_counts& counts) {
+std::vector<violation> check_soak(soak_records const& seen, soak_counts& counts) {
   broken_list broken;
   check_calls(seen, counts, broken);
   for (job_record const& job : seen.jobs) check_job(seen, job, counts, broken);
--- a/tests/platform_standin/soak_checker.h
+++ b/tests/platform_standin/soak_checker.h
@@ -61,9 +61,9 @@
   std::map<std::string, std::uint64_t> reported;
 };
 
-/// A promise that was broken, and by what.
-struct broken_promise {
-  std::string promise;
+/// A invariant that was broken, and by what.
+struct violation {
+  std::string invariant;
   std::string detail;
 };
 
@@ -77,7 +77,7 @@
   std::size_t tenants = 0;
 };
 
-/// @param counts what was judged. @return every broken promise.
-std::vector<broken_promise> check_soak(soak_records const& seen, soak_counts& counts);
+/// @param counts what was judged. @return every broken invariant.
+std::vector<violation> check_soak(soak_records const& seen, soak_counts& counts);
 
 }  // namespace frostline::testing
--- a/tests/platform_standin/store_standin.cc
+++ b/tests/platform_standin/store_standin.cc
@@ -96,7 +96,7 @@
   changed_.notify_all();
 }
 
-std::size_t store_standin::forget_watches() {
+std::size_t store_standin::stall_watches() {
   ++watch_generation_;
   std::size_t waiting = 0;
   for (auto const& [prefix, count] : waiting_watches_) waiting += count;
@@ -215,7 +215,7 @@
   ++transactions_;
   if (faults_.late_transactions > 0) {
     --faults_.late_transactions;
-    spawn(context_, apply_later(body, faults_.lateness));
+    spawn(context_, apply_later(body, faults_.commit_delay));
     co_await wait_for(k_silence);
   }
   http::response outcome = apply(body);
--- a/tests/platform_standin/store_standin.h
+++ b/tests/platform_standin/store_standin.h
@@ -26,7 +26,7 @@
   std::uint32_t lost_transactions = 0;
   /// So many transactions get no answer and are carried out this much later.
   std::uint32_t late_transactions = 0;
-  milliseconds lateness{0};
+  milliseconds commit_delay{0};
 };
 
 class store_standin {
@@ -47,7 +47,7 @@
   void compact();
   /// Watches that wait now are never answered; their connections stay open, and everything that is
   /// asked from now on is answered. @return how many watches.
-  std::size_t forget_watches();
+  std::size_t stall_watches();
   /// Watches of exactly this prefix that wait now.
   std::size_t waiting_watches(std::string const& prefix) { return waiting_watches_[prefix]; }
   /// Ends a lease and its items, as if it had run out.
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -37,9 +37,9 @@
   return options;
 }
 
-void wait_a_moment() { std::this_thread::sleep_for(k_poll); }
+void pause_before_retry() { std::this_thread::sleep_for(k_poll); }
 
-std::string own_loopback_address() {
+std::string unique_loopback_address() {
   static std::uint32_t number = 0;
   auto const process = static_cast<std::uint32_t>(getpid());
   auto const part = [](std::uint32_t value) { return std::to_string(1 + value % 250); };
@@ -64,7 +64,7 @@
 }
 
 cluster::cluster(std::string folder, cluster_options options)
-    : folder_(std::move(folder)), options_(options), address_(own_loopback_address()) {
+    : folder_(std::move(folder)), options_(options), address_(unique_loopback_address()) {
   kv_ = free_endpoint(address_);
   machines_ = free_endpoint(address_);
   weights_ = free_endpoint(address_);
@@ -196,7 +196,7 @@
   if (!answer) throw std::runtime_error("faults could not be set: " + answer.error().message());
 }
 
-void cluster::wait_for_held_up_write(std::string const& what) {
+void cluster::wait_for_delayed_write(std::string const& what) {
   wait_until(what, [this] {
     auto const answer = client_.exchange(kv_, http::make_get("/stats"), k_call_timeout);
     auto const body = answer ? parse_json_object(answer.value().body()) : std::nullopt;
@@ -204,7 +204,7 @@
   });
 }
 
-void cluster::note_leaving(std::string const& back_end) {
+void cluster::record_removal(std::string const& back_end) {
   standin::journal operators(journal_folder() + "/operators.jsonl");
   operators.write("leaving", {{"backend", back_end}});
 }
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -68,9 +68,9 @@
   std::string process_log(std::string const& name) const;
   void set_faults(endpoint const& standin, boost::json::object faults);
   /// Waits until a write that the key-value service's faults hold up has arrived there.
-  void wait_for_held_up_write(std::string const& what);
+  void wait_for_delayed_write(std::string const& what);
   /// Notes in the journals that a back end leaves from now on, for the checker.
-  void note_leaving(std::string const& back_end);
+  void record_removal(std::string const& back_end);
 
   /// Operator calls by way of node 0 (or another).
   rpc::ChangeResponseT put_task(std::string const& name, std::uint32_t bound,
@@ -127,11 +127,11 @@
 };
 
 /// A pause between two tries of a loop that a condition ends.
-void wait_a_moment();
+void pause_before_retry();
 
 /// A loopback address that no other run uses, so that runs side by side can't take each other's
 /// ports.
-std::string own_loopback_address();
+std::string unique_loopback_address();
 
 /// A port of `address` that is free now and was not given before.
 endpoint free_endpoint(std::string const& address);
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -12,7 +12,7 @@
   /// Calls fail from now on; those that wait have no answer.
   void set_cut(bool cut) { cut_ = cut; }
   /// Watches are not answered from now on, those that wait among them; all other calls are.
-  void set_deaf(bool deaf) { deaf_ = deaf; }
+  void set_watches_silent(bool deaf) { deaf_ = deaf; }
   std::uint64_t lists() const { return lists_; }
   /// Lists of servers' records among them.
   std::uint64_t server_lists() const { return server_lists_; }
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -22,7 +22,7 @@
 
 TEST_GROUP(crash_watch_test) {
   asio::io_context context{1};
-  std::string address = own_loopback_address();
+  std::string address = unique_loopback_address();
   tcp::acceptor listener{context};
   directory::server server;
   directory::server_directory directory;
--- a/tests/unit/quarantine/quarantine_service_test.cc
+++ b/tests/unit/quarantine/quarantine_service_test.cc
@@ -28,7 +28,7 @@
   service collector{{context, store, transport, "node", self, [this] { return collectors; },
                      [this] { return records_current; }}};
   rpc::dispatcher methods;
-  std::string address = own_loopback_address();
+  std::string address = unique_loopback_address();
   /// Evidence that the other collector was told.
   std::size_t told = 0;
   rpc::dispatcher other_methods;
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -92,7 +92,7 @@
 TEST_GROUP(record_feed_test) {
   asio::io_context context{1};
   memory_record_store shared{context};
-  std::string address = testing::own_loopback_address();
+  std::string address = testing::unique_loopback_address();
   std::deque<endpoint> addresses;
   std::vector<std::unique_ptr<test_node>> nodes;
   /// Servers whose value is one of these are wanted by all nodes; nothing: all servers.
@@ -380,25 +380,25 @@
   CHECK(run_until([&] { return count(feed_role::relay) == 2; }));
   CHECK(all_have("1"));
   // What the others hear of meanwhile comes to it from them; its own watch waits for ten seconds.
-  first.store.set_deaf(true);
+  first.store.set_watches_silent(true);
   std::uint64_t const before = first.store.lists();
   time_point const begin = boot_clock::now();
   shared.put_now("owners/1", "news");
   CHECK(run_until([&] { return first.store.lists() > before; }));
   CHECK(boot_clock::now() - begin < k_bound);
-  first.store.set_deaf(false);
+  first.store.set_watches_silent(false);
 }
 
 TEST(record_feed_test, watches_begin_anew_beside_one_that_was_not_answered) {
   test_node& only = add("a");
   CHECK(run_until([&] { return count(feed_role::relay) == 1; }));
   CHECK(all_have("1"));
-  only.store.set_deaf(true);
+  only.store.set_watches_silent(true);
   std::uint64_t const before = only.store.lists();
   shared.put_now(k_configuration, "2");
   // The configuration's, and the other four that may have gone silent with it.
   CHECK(run_until([&] { return only.store.lists() >= before + 5; }));
-  only.store.set_deaf(false);
+  only.store.set_watches_silent(false);
   CHECK(all_have("2"));
 }
 
