--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -17,16 +17,16 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
+constexpr char k_poison_text[] = "deadly";
 /// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
 /// Tries after the bound holds: each would end up to three servers.
-constexpr std::size_t k_late_tries = 12;
-constexpr milliseconds k_patience{800};
+constexpr std::size_t k_tries_after_bound = 12;
+constexpr milliseconds k_read_timeout{800};
 /// Calls of each of those that stood beside it which come again: those of its time.
-constexpr int k_beside_again = 12;
+constexpr int k_bystander_retries = 12;
 
 std::vector<test_item> make_items(std::string const& job, std::size_t count) {
   std::vector<test_item> items;
@@ -53,7 +53,7 @@
   std::size_t next_try = 0;
   std::size_t next_other = 0;
 
-  void setup() override { system.set_crash_text(k_deadly); }
+  void setup() override { system.set_crash_text(k_poison_text); }
 
   /// Requests that the store says are kept from servers.
   std::size_t quarantine_records() { return count_records(system, k_quarantine_records); }
@@ -73,7 +73,7 @@
   std::size_t late_arrivals() {
     auto const times = poison_arrivals(system);
     if (times.size() < k_crashes_allowed) return 0;
-    time_point const bound = times[k_crashes_allowed - 1] + k_contact;
+    time_point const bound = times[k_crashes_allowed - 1] + k_propagation_time;
     return static_cast<std::size_t>(
         std::count_if(times.begin(), times.end(), [&](time_point at) { return at > bound; }));
   }
@@ -81,14 +81,15 @@
   bool is_bound_in_force() {
     auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
-           boot_clock::now() > times[k_crashes_allowed - 1] + k_contact;
+           boot_clock::now() > times[k_crashes_allowed - 1] + k_propagation_time;
   }
 
   /// @return the status; 0 without an answer.
   unsigned try_deadly(std::string const& path) {
     std::size_t const number = next_try++;
-    auto const answer = system.call(number % system.nodes(), http::verb::post, path,
-                                    "deadly-" + std::to_string(number), k_deadly, k_patience);
+    auto const answer =
+        system.call(number % system.nodes(), http::verb::post, path,
+                    "deadly-" + std::to_string(number), k_poison_text, k_read_timeout);
     return answer ? answer.value().result_int() : 0;
   }
 
@@ -97,18 +98,18 @@
     platform_cluster::wait_until("others are served", [&] {
       auto const answer =
           system.call(next_try % system.nodes(), http::verb::post, path,
-                      "other-" + std::to_string(next_other++), "harmless", k_patience);
+                      "other-" + std::to_string(next_other++), "harmless", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
 
-  /// Tries the deadly request at all nodes in turn until the bound holds, and some times after.
+  /// Tries the poison request at all nodes in turn until the bound holds, and some times after.
   void keep_trying(std::string const& path) {
     platform_cluster::wait_until("three servers have ended long enough ago", [&] {
       try_deadly(path);
       return is_bound_in_force();
     });
-    for (std::size_t number = 0; number < k_late_tries; ++number) {
+    for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       wait_for_service(path);
       try_deadly(path);
     }
@@ -132,8 +133,9 @@
     std::vector<std::future<bool>> others;
     for (std::size_t number = 0; number < 12; ++number) {
       others.push_back(std::async(std::launch::async, [&, number] {
-        auto const answer = system.call(0, http::verb::post, "/calls/x",
-                                        "other-" + std::to_string(number), "harmless", k_patience);
+        auto const answer =
+            system.call(0, http::verb::post, "/calls/x", "other-" + std::to_string(number),
+                        "harmless", k_read_timeout);
         return answer.has_value();
       }));
     }
@@ -161,7 +163,7 @@
 
 TEST(crashing_request_test, sample_reaches_engines_no_more_and_the_others_are_finished) {
   auto items = make_items("job", 12);
-  items[3].prompt = k_deadly;
+  items[3].prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
   auto const listed = system.wait_for_results(1, "job", 11);
   LONGS_EQUAL(11, completed(listed).size());
@@ -177,7 +179,7 @@
 TEST(crashing_request_test, samples_that_ran_beside_it_are_not_held_back) {
   // All engines are full, so that it takes seven others along each time.
   auto items = make_items("job", 32);
-  items[3].prompt = k_deadly;
+  items[3].prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
   platform_cluster::wait_until("there is a record", [&] { return quarantine_records() > 0; });
   auto const listed = system.wait_for_results(1, "job", 31);
@@ -187,7 +189,7 @@
 
 TEST(crashing_request_test, scorers_call_reaches_servers_no_more_and_the_others_are_scored) {
   auto items = make_items("job", 12);
-  items[3].scorer_body = k_deadly;
+  items[3].scorer_body = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
   auto const listed = system.wait_for_results(1, "job", 11);
   LONGS_EQUAL(11, completed(listed).size());
@@ -206,8 +208,8 @@
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     time_point const begin = boot_clock::now();
     auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                    "refused-" + std::to_string(node), k_deadly);
-    CHECK(boot_clock::now() - begin < k_patience);
+                                    "refused-" + std::to_string(node), k_poison_text);
+    CHECK(boot_clock::now() - begin < k_read_timeout);
     LONGS_EQUAL(503, answer.value().result_int());
     STRCMP_EQUAL("60", std::string(http::header(answer.value(), "Retry-After")).c_str());
     CHECK(answer.value().body().find("quarantined") != std::string::npos);
@@ -225,14 +227,14 @@
       return system.log(node).find("Request is under quarantine") != std::string::npos;
     });
     platform_cluster::wait_until("it is in effect", [&] {
-      auto const answer = system.call(node, http::verb::post, "/calls/x", "late", k_deadly);
+      auto const answer = system.call(node, http::verb::post, "/calls/x", "late", k_poison_text);
       return answer && answer.value().body().find("quarantined") != std::string::npos;
     });
   }
   // The record takes a moment to take effect on a node that has just started.
   CHECK(poison_arrivals(system).size() <= before + system.nodes() * k_crashes_allowed);
   std::size_t const after = poison_arrivals(system).size();
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service("/calls/x");
     try_deadly("/calls/x");
   }
@@ -249,7 +251,7 @@
                                [&] { return try_deadly("/calls/x") == 200; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     platform_cluster::wait_until("every node serves it", [&] {
-      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_deadly);
+      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_poison_text);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -268,7 +270,7 @@
   });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     platform_cluster::wait_until("every node serves it", [&] {
-      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_deadly);
+      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_poison_text);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -290,10 +292,10 @@
   time_point const back = boot_clock::now();
   platform_cluster::wait_until("the bound holds", [&] {
     try_deadly("/calls/x");
-    return boot_clock::now() > back + k_contact;
+    return boot_clock::now() > back + k_propagation_time;
   });
   std::size_t const before = poison_arrivals(system).size();
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service("/calls/x");
     try_deadly("/calls/x");
   }
@@ -325,7 +327,7 @@
       for (int call = 0; !stop; ++call) {
         auto const id = "popular-" + std::to_string(number) + "-" + std::to_string(call);
         auto const answer = wide.call(callers_nodes[number % callers_nodes.size()],
-                                      http::verb::post, "/calls/x", id, "popular", k_patience);
+                                      http::verb::post, "/calls/x", id, "popular", k_read_timeout);
         if (!answer) continue;
         if (answer.value().result_int() == 200) ++served;
         if (answer.value().body().find("quarantined") != std::string::npos) ++refused;
@@ -380,11 +382,11 @@
         // Each comes again until it is answered, as a scorer's call does.
         for (std::size_t attempt = 0; !stop; ++attempt) {
           auto const answer = system.call((number + attempt) % system.nodes(), http::verb::post,
-                                          "/calls/x", id, "body of " + id, k_patience);
+                                          "/calls/x", id, "body of " + id, k_read_timeout);
           if (answer && answer.value().result_int() == 200) break;
         }
         ++served;
-        if (call < k_beside_again) served_by[number] = call;
+        if (call < k_bystander_retries) served_by[number] = call;
       }
     });
   }
@@ -401,7 +403,7 @@
     for (int call = 0; call < served_by[number]; ++call) {
       auto const id = "beside-" + std::to_string(number) + "-" + std::to_string(call);
       auto const answer = system.call(node++ % system.nodes(), http::verb::post, "/calls/x", id,
-                                      "body of " + id, k_patience);
+                                      "body of " + id, k_read_timeout);
       LONGS_EQUAL(200, answer.value().result_int());
     }
   }
@@ -425,7 +427,7 @@
     return 0;
   });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
-    auto const answer = system.call(node, http::verb::post, "/calls/x", "whole", k_deadly);
+    auto const answer = system.call(node, http::verb::post, "/calls/x", "whole", k_poison_text);
     LONGS_EQUAL(200, answer.value().result_int());
     CHECK(system.log(node).find("Server ended under a request") == std::string::npos);
   }
@@ -442,5 +444,5 @@
   });
   time_point const begin = boot_clock::now();
   LONGS_EQUAL(502, try_deadly("/calls/x"));
-  CHECK(boot_clock::now() - begin < k_patience / 2);
+  CHECK(boot_clock::now() - begin < k_read_timeout / 2);
 }
--- a/tests/platform/cut_runs_test.cc
+++ b/tests/platform/cut_runs_test.cc
@@ -27,16 +27,16 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
+constexpr char k_poison_text[] = "deadly";
 /// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
 /// Tries after the bound holds.
-constexpr std::size_t k_late_tries = 12;
-constexpr milliseconds k_patience{800};
-constexpr milliseconds k_short_patience{40};
-/// From the arrival of a deadly request to its server's end: after the caller has left.
+constexpr std::size_t k_tries_after_bound = 12;
+constexpr milliseconds k_read_timeout{800};
+constexpr milliseconds k_short_read_timeout{40};
+/// From the arrival of a poison request to its server's end: after the caller has left.
 constexpr milliseconds k_slow_crash{60};
 /// The same, after an attempt of a call that may be repeated has been given up (300 ms).
 constexpr milliseconds k_crash_after_attempt{340};
@@ -53,7 +53,7 @@
 
   void end_servers_after(milliseconds pause) {
     crash_after = pause;
-    system.set_crash_text(k_deadly);
+    system.set_crash_text(k_poison_text);
     system.on_platform([&] {
       for (std::size_t index = 0; index < system.apps(); ++index) {
         system.app(index).faults().crash_after = pause;
@@ -68,13 +68,13 @@
   bool is_bound_in_force() {
     auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
-           boot_clock::now() > times[k_crashes_allowed - 1] + k_contact;
+           boot_clock::now() > times[k_crashes_allowed - 1] + k_propagation_time;
   }
 
   std::size_t late_arrivals() {
     auto const times = poison_arrivals(system);
     if (times.size() < k_crashes_allowed) return 0;
-    time_point const bound = times[k_crashes_allowed - 1] + k_contact;
+    time_point const bound = times[k_crashes_allowed - 1] + k_propagation_time;
     return static_cast<std::size_t>(
         std::count_if(times.begin(), times.end(), [&](time_point at) { return at > bound; }));
   }
@@ -102,7 +102,7 @@
     platform_cluster::wait_until("others are served", [&] {
       auto const answer =
           system.call(next_try % system.nodes(), http::verb::post, path,
-                      "other-" + std::to_string(next_other++), "harmless", k_patience);
+                      "other-" + std::to_string(next_other++), "harmless", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -111,7 +111,7 @@
   void call_and_disconnect(std::string const& path) {
     std::size_t const number = next_try++;
     system.call_and_disconnect(number % system.nodes(), path, "deadly-" + std::to_string(number),
-                               k_deadly, k_short_patience);
+                               k_poison_text, k_short_read_timeout);
   }
 
   /// A caller says that it waits no longer than that.
@@ -119,7 +119,8 @@
     std::size_t const number = next_try++;
     // What it is answered is judged by what reaches the servers.
     static_cast<void>(system.call(number % system.nodes(), http::verb::post, path,
-                                  "deadly-" + std::to_string(number), k_deadly, k_short_patience));
+                                  "deadly-" + std::to_string(number), k_poison_text,
+                                  k_short_read_timeout));
   }
 
   void keep_trying(std::string const& path, std::function<void()> const& try_once) {
@@ -128,7 +129,7 @@
       try_once();
       return is_bound_in_force();
     });
-    for (std::size_t number = 0; number < k_late_tries; ++number) {
+    for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       wait_for_service(path);
       try_once();
     }
@@ -163,10 +164,10 @@
   end_servers_after(k_crash_after_attempt);
   test_item item{"scored", "group"};
   item.scorer_path = "/open/score";
-  item.scorer_body = k_deadly;
+  item.scorer_body = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", {item}));
   platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
-  time_point const observed = boot_clock::now() + k_contact;
+  time_point const observed = boot_clock::now() + k_propagation_time;
   platform_cluster::wait_until("more tries would have come",
                                [&] { return boot_clock::now() > observed; });
   CHECK(late_arrivals() <= k_retries_allowed);
@@ -175,7 +176,7 @@
 TEST(cut_runs_test, sample_whose_runs_are_given_up_reaches_engines_no_more) {
   end_servers_after(k_crash_after_run);
   test_item item{"sampled", "group"};
-  item.prompt = k_deadly;
+  item.prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", {item}));
   platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
   // Without a bound one more run would begin each 2.5 s.
@@ -190,14 +191,15 @@
 TEST(cut_runs_test, call_whose_callers_leave_servers_that_live_is_not_refused) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
-      system.app(index).faults().work_time = 2 * k_short_patience;
+      system.app(index).faults().work_time = 2 * k_short_read_timeout;
     }
     return 0;
   });
-  for (std::size_t number = 0; number < k_late_tries; ++number) call_and_disconnect("/calls/x");
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number)
+    call_and_disconnect("/calls/x");
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                    "stays-" + std::to_string(node), k_deadly, k_patience);
+                                    "stays-" + std::to_string(node), k_poison_text, k_read_timeout);
     CHECK(answer.has_value());
     LONGS_EQUAL(200, answer.value().result_int());
   }
--- a/tests/platform/early_record_test.cc
+++ b/tests/platform/early_record_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr char k_text[] = "popular";
-constexpr milliseconds k_patience{1500};
+constexpr milliseconds k_read_timeout{1500};
 constexpr milliseconds k_long_down{60'000};
 /// A record of three crashes would be in force everywhere by then, and no trial be due.
 constexpr milliseconds k_in_force{1100};
@@ -38,7 +38,8 @@
       return 0;
     });
     system.set_crash_text(k_text);
-    auto const answer = system.call(0, http::verb::post, "/calls/x", "first", k_text, k_patience);
+    auto const answer =
+        system.call(0, http::verb::post, "/calls/x", "first", k_text, k_read_timeout);
     system.set_crash_text("");
     CHECK(answer.has_value());
     LONGS_EQUAL(502, answer.value().result_int());
@@ -54,7 +55,7 @@
                                [&] { return boot_clock::now() > in_force; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                    "again-" + std::to_string(node), k_text, k_patience);
+                                    "again-" + std::to_string(node), k_text, k_read_timeout);
     CHECK(answer.has_value());
     LONGS_EQUAL(200, answer.value().result_int());
   }
--- a/tests/platform/lost_crash_records_test.cc
+++ b/tests/platform/lost_crash_records_test.cc
@@ -24,13 +24,13 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
-constexpr milliseconds k_patience{800};
+constexpr char k_poison_text[] = "deadly";
+constexpr milliseconds k_read_timeout{800};
 /// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-constexpr std::size_t k_late_tries = 12;
+constexpr std::size_t k_tries_after_bound = 12;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
   platform_cluster system{with_many_servers()};
   std::size_t next_other = 0;
 
-  void setup() override { system.set_crash_text(k_deadly); }
+  void setup() override { system.set_crash_text(k_poison_text); }
 
   std::size_t crashes() {
     return system.on_platform([&] {
@@ -69,7 +69,7 @@
     platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
     platform_cluster::wait_until("others are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                      "other-" + std::to_string(next_other++), "b", k_patience);
+                                      "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -82,13 +82,14 @@
 
   void wait_for_the_bound(time_point third) {
     platform_cluster::wait_until("the bound holds",
-                                 [&] { return boot_clock::now() > third + k_contact; });
+                                 [&] { return boot_clock::now() > third + k_propagation_time; });
   }
 
-  void call_deadly(std::size_t number) {
+  void call_poison(std::size_t number) {
     // What it is answered is judged by what reaches the servers.
     static_cast<void>(system.call(number % system.nodes(), http::verb::post, "/once/x",
-                                  "deadly-" + std::to_string(number), k_deadly, k_patience));
+                                  "deadly-" + std::to_string(number), k_poison_text,
+                                  k_read_timeout));
   }
 
   bool is_completed(std::string const& job, std::string const& id) {
@@ -105,17 +106,17 @@
 
   /// Hands a job in whose sample, or whose scorer's call, ends servers; all nodes end with the
   /// third of them.
-  void end_nodes_with_the_third_crash_of(test_item const& deadly) {
-    LONGS_EQUAL(202, system.submit(0, "job", {deadly}));
+  void end_nodes_with_the_third_crash_of(test_item const& poison) {
+    LONGS_EQUAL(202, system.submit(0, "job", {poison}));
     platform_cluster::wait_until("three servers have ended",
                                  [&] { return crashes() >= k_crashes_allowed; });
     time_point const third = boot_clock::now();
     restart_all_nodes();
     test_item const harmless{"harmless", "group"};
-    LONGS_EQUAL(202, system.submit(0, "again", {deadly, harmless}));
+    LONGS_EQUAL(202, system.submit(0, "again", {poison, harmless}));
     wait_for_the_bound(third);
     platform_cluster::wait_until("samples run", [&] { return is_completed("again", "harmless"); });
-    time_point const observed = boot_clock::now() + k_contact;
+    time_point const observed = boot_clock::now() + k_propagation_time;
     platform_cluster::wait_until("more runs would have begun",
                                  [&] { return boot_clock::now() > observed; });
   }
@@ -123,32 +124,32 @@
 
 TEST(lost_crash_records_test, bound_holds_for_calls_whose_crashes_different_nodes_saw) {
   for (std::size_t number = 0; number + 1 < k_crashes_allowed; ++number) {
-    call_deadly(number);
+    call_poison(number);
     wait_for_service(number);
   }
-  call_deadly(k_crashes_allowed - 1);
+  call_poison(k_crashes_allowed - 1);
   time_point const third = boot_clock::now();
   LONGS_EQUAL(k_crashes_allowed, crashes());
   restart_all_nodes();
   wait_for_the_bound(third);
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service(number % system.nodes());
-    call_deadly(number);
+    call_poison(number);
   }
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
 
 TEST(lost_crash_records_test, bound_holds_for_a_sample) {
-  test_item deadly{"deadly", "group"};
-  deadly.prompt = k_deadly;
-  end_nodes_with_the_third_crash_of(deadly);
+  test_item poison{"deadly", "group"};
+  poison.prompt = k_poison_text;
+  end_nodes_with_the_third_crash_of(poison);
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
 
 TEST(lost_crash_records_test, bound_holds_for_a_scorers_call) {
-  test_item deadly{"deadly", "group"};
-  deadly.scorer_path = "/open/score";
-  deadly.scorer_body = k_deadly;
-  end_nodes_with_the_third_crash_of(deadly);
+  test_item poison{"deadly", "group"};
+  poison.scorer_path = "/open/score";
+  poison.scorer_body = k_poison_text;
+  end_nodes_with_the_third_crash_of(poison);
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
--- a/tests/platform/lost_evidence_test.cc
+++ b/tests/platform/lost_evidence_test.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
-constexpr milliseconds k_patience{800};
+constexpr char k_poison_text[] = "deadly";
+constexpr milliseconds k_read_timeout{800};
 /// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_retries_allowed = 3;
-constexpr std::size_t k_late_tries = 12;
+constexpr std::size_t k_tries_after_bound = 12;
 
 platform_options with_many_servers() {
   platform_options options;
@@ -29,7 +29,7 @@
   platform_cluster system{with_many_servers()};
   std::size_t next_other = 0;
 
-  void setup() override { system.set_crash_text(k_deadly); }
+  void setup() override { system.set_crash_text(k_poison_text); }
 
   std::size_t crashes() {
     return system.on_platform([&] {
@@ -43,14 +43,15 @@
   void wait_for_service(std::size_t node) {
     platform_cluster::wait_until("others are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                      "other-" + std::to_string(next_other++), "b", k_patience);
+                                      "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
 };
 
 TEST(lost_evidence_test, bound_holds_when_all_nodes_ended_with_the_third_crash) {
-  auto const answer = system.call(0, http::verb::post, "/calls/x", "first", k_deadly, k_patience);
+  auto const answer =
+      system.call(0, http::verb::post, "/calls/x", "first", k_poison_text, k_read_timeout);
   time_point const third = boot_clock::now();
   for (std::size_t node = 0; node < system.nodes(); ++node) system.node(node).kill();
   CHECK(answer.has_value());
@@ -58,13 +59,13 @@
   for (std::size_t node = 0; node < system.nodes(); ++node) system.start_node(node);
   for (std::size_t node = 0; node < system.nodes(); ++node) wait_for_service(node);
   platform_cluster::wait_until("the bound holds",
-                               [&] { return boot_clock::now() > third + k_contact; });
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+                               [&] { return boot_clock::now() > third + k_propagation_time; });
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     std::size_t const node = number % system.nodes();
     wait_for_service(node);
     // What it is answered is judged by what reaches the servers.
     static_cast<void>(system.call(node, http::verb::post, "/calls/x",
-                                  "late-" + std::to_string(number), k_deadly, k_patience));
+                                  "late-" + std::to_string(number), k_poison_text, k_read_timeout));
   }
   CHECK(crashes() <= 3 + k_retries_allowed);
 }
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -26,7 +26,7 @@
   platform_cluster system{two_zones()};
 
   /// Watches below a prefix that told a change.
-  std::uint64_t told_watches(std::string const& prefix) {
+  std::uint64_t answered_watches(std::string const& prefix) {
     return system.on_platform([&] { return system.store().answered_watches(prefix); });
   }
 
@@ -99,15 +99,15 @@
 
 TEST(relay_test, changes_cost_a_call_for_each_zone_and_not_for_each_node) {
   settle();
-  std::uint64_t const before = told_watches("op/config");
+  std::uint64_t const before = answered_watches("op/config");
   put_config(3);
   platform_cluster::wait_until("version 3 is in force", [&] { return all_say(in_force(3)); });
   // The owner hears of it below the operators' prefix.
-  LONGS_EQUAL(before + 2, told_watches("op/config"));
-  std::uint64_t const servers_before = told_watches("servers/");
+  LONGS_EQUAL(before + 2, answered_watches("op/config"));
+  std::uint64_t const servers_before = answered_watches("servers/");
   withdraw(0);
   platform_cluster::wait_until("all know that it is gone", [&] { return all_say("Server gone"); });
-  LONGS_EQUAL(servers_before + 1, told_watches("servers/"));
+  LONGS_EQUAL(servers_before + 1, answered_watches("servers/"));
 }
 
 TEST(relay_test, change_is_in_force_in_time_while_a_relay_stands_still) {
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -27,18 +27,18 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
-constexpr milliseconds k_patience{800};
+constexpr char k_poison_text[] = "deadly";
+constexpr milliseconds k_read_timeout{800};
 /// From the call's arrival to its server's end: the node sleeps by then.
 constexpr milliseconds k_crash_after{150};
 /// The caller leaves in the node's sleep, or is still there when it wakes.
-constexpr milliseconds k_short_patience{250};
-constexpr milliseconds k_long_patience{4000};
+constexpr milliseconds k_short_read_timeout{250};
+constexpr milliseconds k_long_read_timeout{4000};
 /// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-constexpr std::size_t k_late_tries = 12;
+constexpr std::size_t k_tries_after_bound = 12;
 
 platform_options with_suspension() {
   platform_options options;
@@ -55,7 +55,7 @@
   std::size_t next_other = 0;
 
   void setup() override {
-    system.set_crash_text(k_deadly);
+    system.set_crash_text(k_poison_text);
     system.on_platform([&] {
       for (std::size_t index = 0; index < system.apps(); ++index) {
         system.app(index).faults().crash_after = k_crash_after;
@@ -86,7 +86,7 @@
   void wait_for_service(std::size_t node) {
     platform_cluster::wait_until("others are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                      "other-" + std::to_string(next_other++), "b", k_patience);
+                                      "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -96,12 +96,12 @@
     std::size_t const before = crashes();
     std::string const id = "slept-" + std::to_string(before);
     auto call = std::async(std::launch::async, [&] {
-      system.call_and_disconnect(node, "/once/x", id, k_deadly, callers_patience);
+      system.call_and_disconnect(node, "/once/x", id, k_poison_text, callers_patience);
     });
     platform_cluster::wait_until("the call is at a server",
                                  [&] { return count_arrivals(system, id) > 0; });
     system.suspend(node);
-    time_point const caller_left = boot_clock::now() + k_short_patience;
+    time_point const caller_left = boot_clock::now() + k_short_read_timeout;
     platform_cluster::wait_until("its server is back", [&] {
       return crashes() > before && are_servers_up() && boot_clock::now() > caller_left;
     });
@@ -118,15 +118,16 @@
 
   /// @return servers that ended when the request came again, long after the third crash.
   std::size_t late_crashes() {
-    time_point const bound = boot_clock::now() + k_contact;
+    time_point const bound = boot_clock::now() + k_propagation_time;
     platform_cluster::wait_until("the bound holds", [&] { return boot_clock::now() > bound; });
     std::size_t const before = crashes();
-    for (std::size_t number = 0; number < k_late_tries; ++number) {
+    for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       std::size_t const node = number % system.nodes();
       wait_for_service(node);
       // What it is answered is judged by what reaches the servers.
       static_cast<void>(system.call(node, http::verb::post, "/once/x",
-                                    "late-" + std::to_string(number), k_deadly, k_patience));
+                                    "late-" + std::to_string(number), k_poison_text,
+                                    k_read_timeout));
       platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
     }
     return crashes() - before;
@@ -134,13 +135,13 @@
 };
 
 TEST(suspended_crash_test, crashes_under_calls_whose_callers_have_left_count) {
-  end_three_servers_while_suspended(k_short_patience);
+  end_three_servers_while_suspended(k_short_read_timeout);
   LONGS_EQUAL(3, crashes());
   CHECK(late_crashes() <= k_retries_allowed);
 }
 
 TEST(suspended_crash_test, crashes_under_calls_whose_callers_wait_count) {
-  end_three_servers_while_suspended(k_long_patience);
+  end_three_servers_while_suspended(k_long_read_timeout);
   LONGS_EQUAL(3, crashes());
   CHECK(late_crashes() <= k_retries_allowed);
 }
@@ -162,7 +163,7 @@
     }
     wait_for_service(number % system.nodes());
   }
-  time_point const bound = boot_clock::now() + k_contact;
+  time_point const bound = boot_clock::now() + k_propagation_time;
   platform_cluster::wait_until("a record would be in force",
                                [&] { return boot_clock::now() > bound; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
--- a/tests/platform/suspended_node_test.cc
+++ b/tests/platform/suspended_node_test.cc
@@ -20,7 +20,7 @@
 /// clock four times a second.
 constexpr milliseconds k_answer_time{800};
 /// How long the client reads on, so that it sees when an answer comes.
-constexpr milliseconds k_patience{8000};
+constexpr milliseconds k_read_timeout{8000};
 
 platform_options with_suspension() {
   platform_options options;
@@ -60,7 +60,7 @@
     silence_apps();
     time_point const begin = boot_clock::now();
     auto answer = std::async(std::launch::async, [&] {
-      return system.call(0, http::verb::post, path, "slept", "b", k_patience);
+      return system.call(0, http::verb::post, path, "slept", "b", k_read_timeout);
     });
     platform_cluster::wait_until("the call is at a server", [&] { return has_arrived("slept"); });
     system.suspend(0);
--- a/tests/platform_standin/cluster_queries.cc
+++ b/tests/platform_standin/cluster_queries.cc
@@ -8,9 +8,9 @@
 /// Of one server; on the stand-ins' thread.
 std::size_t count_at(server_standin const& server, std::string const& prefix, bool only_runs) {
   std::size_t count = 0;
-  for (arrival const& one : server.arrivals()) {
-    bool const counts = one.ran || !only_runs;
-    if (counts && one.request.starts_with(prefix)) ++count;
+  for (arrival const& entry : server.arrivals()) {
+    bool const counts = entry.ran || !only_runs;
+    if (counts && entry.request.starts_with(prefix)) ++count;
   }
   return count;
 }
@@ -43,8 +43,8 @@
   std::vector<time_point> times = system.on_platform([&] {
     std::vector<time_point> all;
     auto const take = [&](server_standin const& from) {
-      for (arrival const& one : from.arrivals()) {
-        if (one.crashed) all.push_back(one.at);
+      for (arrival const& entry : from.arrivals()) {
+        if (entry.crashed) all.push_back(entry.at);
       }
     };
     for (std::size_t index = 0; index < system.apps(); ++index) take(system.app(index));
@@ -66,8 +66,9 @@
 std::size_t count_records(platform_cluster& system, std::string const& prefix) {
   return system.on_platform([&] {
     auto const& items = system.store().items();
-    auto const count = std::count_if(
-        items.begin(), items.end(), [&](auto const& one) { return one.first.starts_with(prefix); });
+    auto const count = std::count_if(items.begin(), items.end(), [&](auto const& entry) {
+      return entry.first.starts_with(prefix);
+    });
     return static_cast<std::size_t>(count);
   });
 }
--- a/tests/platform_standin/platform_cluster.cc
+++ b/tests/platform_standin/platform_cluster.cc
@@ -51,22 +51,22 @@
   return text.str();
 }
 
-json::object write_item(test_item const& one) {
+json::object write_item(test_item const& spec) {
   json::object item;
-  item["id"] = one.id;
-  item["path"] = "/jobs/run/" + one.id;
+  item["id"] = spec.id;
+  item["path"] = "/jobs/run/" + spec.id;
   json::object headers;
   headers["X-Frostline-Model"] = platform_cluster::k_model;
   item["headers"] = std::move(headers);
-  item["body"] = base64_encode("prompt of " + one.id + one.prompt);
+  item["body"] = base64_encode("prompt of " + spec.id + spec.prompt);
   item["tokens"] = 100;
-  item["group"] = one.group;
-  if (!one.scored) return item;
+  item["group"] = spec.group;
+  if (!spec.scored) return item;
   json::object scorer;
-  scorer["id"] = "score-" + one.id;
+  scorer["id"] = "score-" + spec.id;
   scorer["host"] = platform_cluster::k_host;
-  scorer["path"] = one.scorer_path;
-  scorer["body"] = base64_encode("score " + one.id + one.scorer_body);
+  scorer["path"] = spec.scorer_path;
+  scorer["body"] = base64_encode("score " + spec.id + spec.scorer_body);
   item["scorer"] = std::move(scorer);
   return item;
 }
@@ -133,19 +133,19 @@
     for (auto const& proxy : store_proxies_) addresses.push_back(proxy->listen());
   }
   if (all || part == connected_part::servers) {
-    for (auto const& one : engines_) addresses.push_back(one->address());
-    for (auto const& one : apps_) addresses.push_back(one->address());
+    for (auto const& server : engines_) addresses.push_back(server->address());
+    for (auto const& server : apps_) addresses.push_back(server->address());
   }
   if (all || part == connected_part::nodes) {
-    for (node_addresses const& one : addresses_) addresses.push_back(one.peers);
+    for (node_addresses const& node : addresses_) addresses.push_back(node.peers);
   }
   return addresses;
 }
 
 std::size_t platform_cluster::silence_connections(connected_part part) {
   std::set<tcp::endpoint> ends;
-  for (endpoint const& one : addresses_of(part)) {
-    ends.emplace(asio::ip::make_address(one.address), one.port);
+  for (endpoint const& address : addresses_of(part)) {
+    ends.emplace(asio::ip::make_address(address.address), address.port);
   }
   auto const chosen = [&](tcp::endpoint const& local, tcp::endpoint const& peer) {
     return ends.contains(local) || ends.contains(peer);
@@ -159,8 +159,8 @@
 
 void platform_cluster::set_crash_text(std::string const& text) {
   on_platform([&] {
-    for (auto const& one : apps_) one->faults().crash_text = text;
-    for (auto const& one : engines_) one->faults().crash_text = text;
+    for (auto const& server : apps_) server->faults().crash_text = text;
+    for (auto const& server : engines_) server->faults().crash_text = text;
     return 0;
   });
 }
@@ -199,7 +199,7 @@
   if (options_.usage_window == milliseconds(0)) return;
   file << "[duties]\naddress = \"" << duties_address_.to_string() << "\"\n[usage]\n"
        << "window_seconds = " << static_cast<double>(options_.usage_window.count()) / 1000
-       << "\nlate_seconds = " << static_cast<double>(options_.usage_late.count()) / 1000 << "\n";
+       << "\nlate_seconds = " << static_cast<double>(options_.usage_delay.count()) / 1000 << "\n";
 }
 
 void platform_cluster::touch_settings(std::size_t index) {
@@ -233,7 +233,7 @@
   if (suspended.empty()) return;
   auto const slept =
       std::chrono::duration_cast<milliseconds>(boot_clock::now() - suspended.mapped());
-  nodes_.at(index)->wake_from_suspension(static_cast<int>(slept.count()));
+  nodes_.at(index)->resume_from_suspension(static_cast<int>(slept.count()));
 }
 
 bool platform_cluster::is_ready(std::size_t index) {
@@ -318,12 +318,12 @@
 }
 
 result<http::response> platform_cluster::exchange(std::size_t node, http::request const& message,
-                                                  milliseconds patience) const {
+                                                  milliseconds read_timeout) const {
   asio::io_context context(1);
   http::beast::tcp_stream stream(context);
   endpoint const where = addresses_.at(node).clients;
   auto exchange = [&]() -> awaitable<result<http::response>> {
-    stream.expires_after(patience);
+    stream.expires_after(read_timeout);
     tcp::endpoint const remote(asio::ip::make_address(where.address), where.port);
     auto [unconnected] = co_await stream.async_connect(remote, k_as_tuple);
     if (unconnected) co_return std::error_code(http::errc::connect_failed);
@@ -348,18 +348,18 @@
 
 void platform_cluster::call_and_disconnect(std::size_t node, std::string const& path,
                                            std::string const& request_id, std::string const& body,
-                                           milliseconds patience) {
+                                           milliseconds read_timeout) {
   constexpr milliseconds k_told_deadline{5000};
   auto const message =
       make_call(http::verb::post, path, request_id, body, k_told_deadline, std::nullopt);
   // Nobody reads an answer that comes sooner.
-  static_cast<void>(exchange(node, message, patience));
+  static_cast<void>(exchange(node, message, read_timeout));
 }
 
 unsigned platform_cluster::submit(std::size_t node, std::string const& job,
                                   std::vector<test_item> const& items, std::uint64_t min_version) {
   json::array list;
-  for (test_item const& one : items) list.push_back(write_item(one));
+  for (test_item const& item : items) list.push_back(write_item(item));
   json::object body;
   body["step"] = 0;
   body["model"] = k_model;
--- a/tests/platform_standin/platform_cluster.h
+++ b/tests/platform_standin/platform_cluster.h
@@ -36,7 +36,7 @@
   /// Nodes report usage for windows of this length to the stand-in of the duty service; 0: none.
   milliseconds usage_window{0};
   /// A window's usage is due that long after its end.
-  milliseconds usage_late{1500};
+  milliseconds usage_delay{1500};
   /// Nodes can be suspended.
   bool suspendable = false;
 };
@@ -126,9 +126,10 @@
                               std::string const& request_id, std::string const& body = "",
                               milliseconds timeout = milliseconds(5000),
                               std::optional<std::string> const& key = std::nullopt);
-  /// A client that says it waits for seconds, and closes its connection after `patience` instead.
+  /// A client that says it waits for seconds, and closes its connection after `read_timeout`
+  /// instead.
   void call_and_disconnect(std::size_t node, std::string const& path, std::string const& request_id,
-                           std::string const& body, milliseconds patience);
+                           std::string const& body, milliseconds read_timeout);
   unsigned submit(std::size_t node, std::string const& job, std::vector<test_item> const& items,
                   std::uint64_t min_version = 1);
   /// Ends a job. @return the status; 0 without an answer.
@@ -159,9 +160,9 @@
   http::request make_call(http::verb method, std::string const& path, std::string const& request_id,
                           std::string const& body, milliseconds deadline,
                           std::optional<std::string> const& key) const;
-  /// Sends a request to a node's client address and reads its answer, for `patience` at most.
+  /// Sends a request to a node's client address and reads its answer, for `read_timeout` at most.
   result<http::response> exchange(std::size_t node, http::request const& message,
-                                  milliseconds patience) const;
+                                  milliseconds read_timeout) const;
   /// Index of the node that a record of the store names.
   std::optional<std::size_t> find_named(std::string const& key);
 
--- a/tests/platform_standin/server_standin.cc
+++ b/tests/platform_standin/server_standin.cc
@@ -65,21 +65,21 @@
 }
 
 arrival server_standin::note(http::request const& message) {
-  arrival one;
-  one.at = boot_clock::now();
-  one.request = std::string(http::header(message, k_id));
-  one.path = std::string(message.target());
-  one.body = message.body();
-  one.expected_instance = std::string(http::header(message, "X-Frostline-Expect-Instance"));
-  one.last_event = std::string(http::header(message, "Last-Event-Id"));
-  one.deadline = std::string(http::header(message, "X-Frostline-Deadline-Ms"));
+  arrival entry;
+  entry.at = boot_clock::now();
+  entry.request = std::string(http::header(message, k_id));
+  entry.path = std::string(message.target());
+  entry.body = message.body();
+  entry.expected_instance = std::string(http::header(message, "X-Frostline-Expect-Instance"));
+  entry.last_event = std::string(http::header(message, "Last-Event-Id"));
+  entry.deadline = std::string(http::header(message, "X-Frostline-Deadline-Ms"));
   auto const [first, last] = message.equal_range("X-Frostline-Tenant");
   for (auto field = first; field != last; ++field) {
-    if (!one.tenant.empty()) one.tenant += ',';
-    one.tenant += std::string(field->value());
+    if (!entry.tenant.empty()) entry.tenant += ',';
+    entry.tenant += std::string(field->value());
   }
-  one.authorization = std::string(http::header(message, "Authorization"));
-  return one;
+  entry.authorization = std::string(http::header(message, "Authorization"));
+  return entry;
 }
 
 bool server_standin::refuses(http::request const& message) const {
@@ -112,7 +112,7 @@
   return json_response(http::status::ok, body);
 }
 
-bool server_standin::is_deadly(http::request const& message) const {
+bool server_standin::is_poison(http::request const& message) const {
   std::string const& text = faults_.crash_text;
   return !text.empty() && message.body().find(text) != std::string::npos;
 }
@@ -122,34 +122,35 @@
   down_ = true;
   ++crashes_;
   server_.abort();
-  spawn(context_, start_next_life(faults_.down_time));
+  spawn(context_, start_next_incarnation(faults_.down_time));
 }
 
 awaitable<void> server_standin::crash_under(http::request const& message) {
-  arrival one = note(message);
-  one.ran = true;
-  one.crashed = true;
-  arrivals_.push_back(one);
-  std::uint32_t const life = crashes_;
+  arrival entry = note(message);
+  entry.ran = true;
+  entry.crashed = true;
+  arrivals_.push_back(entry);
+  std::uint32_t const incarnation = crashes_;
   co_await wait_for(faults_.crash_after);
-  if (life == crashes_) crash();
+  if (incarnation == crashes_) crash();
 }
 
-awaitable<void> server_standin::start_next_life(milliseconds pause) {
+awaitable<void> server_standin::start_next_incarnation(milliseconds pause) {
   co_await wait_for(pause);
-  std::string const former = options_.id;
-  std::string const next = former.substr(0, former.rfind('.') + 1) + std::to_string(crashes_ + 1);
-  restart(options_.keeps_id ? former : next);
+  std::string const previous_id = options_.id;
+  std::string const next =
+      previous_id.substr(0, previous_id.rfind('.') + 1) + std::to_string(crashes_ + 1);
+  restart(options_.keeps_id ? previous_id : next);
   std::string const failure = server_.listen(options_.address);
   if (!failure.empty()) throw std::runtime_error(failure);
   down_ = false;
-  if (on_restart_) on_restart_(former);
+  if (on_restart_) on_restart_(previous_id);
 }
 
 awaitable<void> server_standin::load(std::uint64_t version) {
-  std::uint64_t const life = born_;
+  std::uint64_t const incarnation = born_;
   co_await wait_for(options_.load_time);
-  if (life != born_) co_return;
+  if (incarnation != born_) co_return;
   version_ = version;
   busy_ = false;
   if (on_version_) on_version_();
@@ -157,33 +158,33 @@
 
 order_arrival server_standin::note_order(std::string const& text) {
   auto const body = parse_json_object(text);
-  order_arrival one;
-  if (!body) return one;
-  one.holder = json_text(*body, "holder");
-  one.fence = static_cast<std::uint64_t>(json_number(*body, "fence"));
-  one.version = static_cast<std::uint64_t>(json_number(*body, "version"));
-  one.at = boot_clock::now();
-  orders_.push_back(one);
-  return one;
+  order_arrival entry;
+  if (!body) return entry;
+  entry.holder = json_text(*body, "holder");
+  entry.fence = static_cast<std::uint64_t>(json_number(*body, "fence"));
+  entry.version = static_cast<std::uint64_t>(json_number(*body, "version"));
+  entry.at = boot_clock::now();
+  orders_.push_back(entry);
+  return entry;
 }
 
 awaitable<http::response> server_standin::order(std::string text) {
   auto const body = parse_json_object(text);
   if (!body) co_return http::make_response(http::status::bad_request, "", "text/plain");
-  order_arrival const one = note_order(text);
+  order_arrival const entry = note_order(text);
   bool const sequence_differs =
       body->if_contains("expected") != nullptr &&
       static_cast<std::uint64_t>(json_number(*body, "expected")) != sequence_;
-  if (one.version == version_ && !busy_) {
+  if (entry.version == version_ && !busy_) {
     co_return http::make_response(http::status::ok, "", "text/plain");
   }
-  if (sequence_differs) ++misjudged_orders_;
+  if (sequence_differs) ++conflicting_orders_;
   if (busy_ || sequence_differs) {
     co_return http::make_response(http::status::conflict, "", "text/plain");
   }
   busy_ = true;
   ++sequence_;
-  spawn(context_, load(one.version));
+  spawn(context_, load(entry.version));
   if (faults_.lost_orders > 0) {
     --faults_.lost_orders;
     co_await wait_for(k_silence);
@@ -194,11 +195,11 @@
 awaitable<http::response> server_standin::handle(http::request message) {
   std::string const target(message.target());
   bool const is_request = !target.starts_with("/api/");
-  arrival one = note(message);
+  arrival entry = note(message);
   bool const refused = refuses(message);
-  one.ran = !refused;
+  entry.ran = !refused;
   // What a silent server does is not seen; that the request reached it is.
-  if (is_request) arrivals_.push_back(one);
+  if (is_request) arrivals_.push_back(entry);
   if (faults_.silent) {
     if (target == "/api/order") note_order(message.body());
     co_await wait_for(k_silence);
@@ -212,23 +213,23 @@
   if (fails) --faults_.failures;
   auto const code = fails ? http::status::internal_server_error : http::status::ok;
   http::response answer =
-      http::make_response(code, "answer to " + one.request + " of " + options_.id, "text/plain");
-  set(answer, k_id, one.request);
-  set(answer, k_stamp, "stamp-" + one.request);
+      http::make_response(code, "answer to " + entry.request + " of " + options_.id, "text/plain");
+  set(answer, k_id, entry.request);
+  set(answer, k_stamp, "stamp-" + entry.request);
   co_return answer;
 }
 
 awaitable<void> server_standin::cut_answer(http::request const& message,
                                            http::stream_writer& writer) {
   --faults_.cuts;
-  arrival one = note(message);
-  one.ran = true;
-  arrivals_.push_back(one);
+  arrival entry = note(message);
+  entry.ran = true;
+  arrivals_.push_back(entry);
   // By turns nothing at all is answered, or some of it.
   if (faults_.cuts % 2 == 0) co_return;
   http::response head = http::make_response(http::status::ok, "", "text/plain");
-  set(head, k_id, one.request);
-  set(head, k_stamp, "stamp-" + one.request);
+  set(head, k_id, entry.request);
+  set(head, k_stamp, "stamp-" + entry.request);
   if (co_await writer.begin(std::move(head))) co_await writer.write("answer to ");
 }
 
@@ -240,32 +241,33 @@
     co_await cut_answer(message, writer);
     co_return true;
   }
-  if (is_deadly(message) && !target.starts_with("/api/") && !refuses(message)) {
+  if (is_poison(message) && !target.starts_with("/api/") && !refuses(message)) {
     co_await crash_under(message);
     co_return true;
   }
   bool const plain = options_.model.empty() || target.starts_with("/api/") || refuses(message) ||
                      faults_.failures > 0 || faults_.silent;
   if (plain) co_return false;
-  arrival one = note(message);
-  one.ran = true;
-  arrivals_.push_back(one);
+  arrival entry = note(message);
+  entry.ran = true;
+  arrivals_.push_back(entry);
   std::uint64_t from = 0;
-  if (!one.last_event.empty()) {
-    std::from_chars(one.last_event.data(), one.last_event.data() + one.last_event.size(), from);
+  if (!entry.last_event.empty()) {
+    std::from_chars(entry.last_event.data(), entry.last_event.data() + entry.last_event.size(),
+                    from);
     ++from;
   }
   http::response head = http::make_response(http::status::ok, "", "text/event-stream");
-  set(head, k_id, one.request);
-  set(head, k_stamp, "stamp-" + one.request);
+  set(head, k_id, entry.request);
+  set(head, k_stamp, "stamp-" + entry.request);
   set(head, k_versions, std::to_string(version_));
   if (!co_await writer.begin(std::move(head))) co_return true;
-  co_return co_await write_events(writer, one.request, from);
+  co_return co_await write_events(writer, entry.request, from);
 }
 
 awaitable<bool> server_standin::write_events(http::stream_writer& writer, std::string request,
                                              std::uint64_t from) {
-  std::uint64_t told = version_;
+  std::uint64_t announced_version = version_;
   std::uint32_t written = 0;
   for (std::uint64_t id = from; id < options_.events; ++id) {
     if (faults_.breaks > 0 && written >= faults_.break_after) {
@@ -275,9 +277,9 @@
     }
     co_await wait_for(options_.event_gap);
     std::string event;
-    if (told != version_) {
-      told = version_;
-      event += "x-frostline-weight-versions: " + std::to_string(told) + "\n";
+    if (announced_version != version_) {
+      announced_version = version_;
+      event += "x-frostline-weight-versions: " + std::to_string(announced_version) + "\n";
     }
     event += "id: " + std::to_string(id) + "\ndata: " + request + "." + std::to_string(id) + "\n\n";
     if (writer.peer_gone() || !co_await writer.write(std::move(event))) {
--- a/tests/platform_standin/server_standin.h
+++ b/tests/platform_standin/server_standin.h
@@ -107,7 +107,7 @@
   std::vector<order_arrival> const& orders() const { return orders_; }
   std::uint64_t version() const { return version_; }
   /// Orders that were refused since they expected another count.
-  std::uint32_t conflicting_orders() const { return misjudged_orders_; }
+  std::uint32_t conflicting_orders() const { return conflicting_orders_; }
   void set_keeps_id(bool keeps) { options_.keeps_id = keeps; }
   /// When this life began, Unix milliseconds.
   std::uint64_t born() const { return born_; }
@@ -126,9 +126,9 @@
   awaitable<http::response> order(std::string body);
   awaitable<void> load(std::uint64_t version);
   /// Whether a request that is run here ends the server.
-  bool is_deadly(http::request const& message) const;
+  bool is_poison(http::request const& message) const;
   awaitable<void> crash_under(http::request const& message);
-  awaitable<void> start_next_life(milliseconds pause);
+  awaitable<void> start_next_incarnation(milliseconds pause);
   http::response report() const;
   arrival note(http::request const& message);
   bool refuses(http::request const& message) const;
@@ -143,7 +143,7 @@
   std::uint64_t version_ = 1;
   std::uint64_t sequence_ = 0;
   std::uint64_t born_ = wall_clock_ms();
-  std::uint32_t misjudged_orders_ = 0;
+  std::uint32_t conflicting_orders_ = 0;
   bool busy_ = false;
   std::uint32_t abandoned_ = 0;
   std::function<void()> on_version_;
--- a/tests/platform_standin/store_standin.cc
+++ b/tests/platform_standin/store_standin.cc
@@ -32,13 +32,13 @@
   return number;
 }
 
-json::object write_item(std::string const& key, store_standin::item const& one) {
+json::object write_item(std::string const& key, store_standin::item const& stored) {
   json::object body;
   body["key"] = key;
-  body["value"] = base64_encode(one.value);
-  body["revision"] = one.revision;
-  body["created"] = one.created;
-  body["lease"] = one.lease;
+  body["value"] = base64_encode(stored.value);
+  body["revision"] = stored.revision;
+  body["created"] = stored.created;
+  body["lease"] = stored.lease;
   return body;
 }
 
@@ -63,21 +63,21 @@
 }
 
 void store_standin::note(std::string const& key, bool gone) {
-  change one;
-  one.revision = revision_;
-  one.key = key;
-  one.gone = gone;
-  if (!gone) one.after = items_[key];
-  history_.push_back(std::move(one));
+  change entry;
+  entry.revision = revision_;
+  entry.key = key;
+  entry.gone = gone;
+  if (!gone) entry.after = items_[key];
+  history_.push_back(std::move(entry));
 }
 
 void store_standin::put(std::string const& key, std::string const& value, std::uint64_t lease) {
   ++revision_;
-  item& one = items_[key];
-  if (one.created == 0) one.created = revision_;
-  one.value = value;
-  one.revision = revision_;
-  one.lease = lease;
+  item& stored = items_[key];
+  if (stored.created == 0) stored.created = revision_;
+  stored.value = value;
+  stored.revision = revision_;
+  stored.lease = lease;
   note(key, false);
   changed_.notify_all();
 }
@@ -106,8 +106,8 @@
 void store_standin::end_lease(std::uint64_t id) {
   leases_.erase(id);
   std::vector<std::string> gone;
-  for (auto const& [key, one] : items_) {
-    if (one.lease == id) gone.push_back(key);
+  for (auto const& [key, held] : items_) {
+    if (held.lease == id) gone.push_back(key);
   }
   for (std::string const& key : gone) remove(key);
 }
@@ -122,8 +122,8 @@
     // While the store is down, leases wait.
     if (faults_.silent || faults_.busy) continue;
     std::vector<std::uint64_t> over;
-    for (auto const& [id, one] : leases_) {
-      if (one.ends <= boot_clock::now()) over.push_back(id);
+    for (auto const& [id, held] : leases_) {
+      if (held.ends <= boot_clock::now()) over.push_back(id);
     }
     for (std::uint64_t id : over) end_lease(id);
   }
@@ -162,12 +162,12 @@
   std::string const after = query_value(target, "after_rev");
   json::array items;
   bool more = false;
-  for (auto const& [key, one] : items_) {
+  for (auto const& [key, stored] : items_) {
     if (!key.starts_with(prefix) || key <= after) continue;
     // Small pages, so that tests meet several.
     more = items.size() == 50;
     if (more) break;
-    items.push_back(write_item(key, one));
+    items.push_back(write_item(key, stored));
   }
   json::object body;
   body["requests"] = std::move(items);
@@ -186,11 +186,11 @@
   json::array events;
   while (true) {
     if (after < forgotten_ || cuts != cuts_) co_return answer(410, {});
-    for (change const& one : history_) {
-      if (one.revision <= after || !one.key.starts_with(prefix)) continue;
-      json::object event = write_item(one.key, one.after);
-      event["revision"] = one.revision;
-      if (one.gone) event["gone"] = true;
+    for (change const& entry : history_) {
+      if (entry.revision <= after || !entry.key.starts_with(prefix)) continue;
+      json::object event = write_item(entry.key, entry.after);
+      event["revision"] = entry.revision;
+      if (entry.gone) event["gone"] = true;
       events.push_back(std::move(event));
     }
     if (!events.empty() || boot_clock::now() >= deadline) break;
@@ -250,13 +250,13 @@
     refusal["requests"] = std::move(rows);
     return answer(412, refusal);
   }
-  for (json::value const& one : body->at("put").as_array()) {
-    std::uint64_t const lease = field(one.as_object(), "lease");
+  for (json::value const& operation : body->at("put").as_array()) {
+    std::uint64_t const lease = field(operation.as_object(), "lease");
     if (lease != 0 && !leases_.contains(lease)) return answer(404, {});
   }
-  for (json::value const& one : body->at("put").as_array()) {
-    auto const value = base64_decode(json_text(one.as_object(), "value"));
-    put(json_text(one.as_object(), "key"), value.value_or(""), field(one.as_object(), "lease"));
+  for (json::value const& operation : body->at("put").as_array()) {
+    auto const value = base64_decode(json_text(operation.as_object(), "value"));
+    put(json_text(operation.as_object(), "key"), value.value_or(""), field(operation.as_object(), "lease"));
   }
   for (json::value const& key : body->at("remove").as_array()) {
     remove(std::string(key.as_string()));
@@ -269,14 +269,14 @@
 http::response store_standin::grant(std::string const& text) {
   auto const body = parse_json_object(text);
   if (!body) return answer(400, {});
-  lease one;
-  one.time_to_live = milliseconds(field(*body, "ttl_ms"));
-  one.ends = boot_clock::now() + one.time_to_live;
+  lease granted_lease;
+  granted_lease.time_to_live = milliseconds(field(*body, "ttl_ms"));
+  granted_lease.ends = boot_clock::now() + granted_lease.time_to_live;
   std::uint64_t const id = next_lease_++;
-  leases_[id] = one;
+  leases_[id] = granted_lease;
   json::object granted;
   granted["lease"] = id;
-  granted["ttl_ms"] = one.time_to_live.count();
+  granted["ttl_ms"] = granted_lease.time_to_live.count();
   return answer(200, granted);
 }
 
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -292,9 +292,9 @@
 
 std::string cluster::node_list() const {
   std::string list;
-  for (endpoint const& one : nodes_) {
+  for (endpoint const& node_address : nodes_) {
     if (!list.empty()) list += ',';
-    list += one.to_string();
+    list += node_address.to_string();
   }
   return list;
 }
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -12,7 +12,7 @@
   /// Calls fail from now on; those that wait have no answer.
   void set_cut(bool cut) { cut_ = cut; }
   /// Watches are not answered from now on, those that wait among them; all other calls are.
-  void set_watches_silent(bool deaf) { deaf_ = deaf; }
+  void set_watches_silent(bool deaf) { watches_silent_ = deaf; }
   std::uint64_t lists() const { return lists_; }
   /// Lists of servers' records among them.
   std::uint64_t server_lists() const { return server_lists_; }
@@ -44,7 +44,7 @@
     if (cut_) co_return std::error_code(kv::errc::unavailable);
     auto batch = co_await store_.watch(std::move(prefix), after, wait);
     if (cut_) co_return std::error_code(kv::errc::unavailable);
-    if (!deaf_) co_return batch;
+    if (!watches_silent_) co_return batch;
     co_await wait_for(wait);
     co_return std::error_code(kv::errc::watch_silent);
   }
@@ -64,7 +64,7 @@
  private:
   kv::record_store& store_;
   bool cut_ = false;
-  bool deaf_ = false;
+  bool watches_silent_ = false;
   std::uint64_t lists_ = 0;
   std::uint64_t server_lists_ = 0;
   std::uint64_t watches_ = 0;
--- a/tests/support/fault_proxy.cc
+++ b/tests/support/fault_proxy.cc
@@ -60,7 +60,7 @@
   std::promise<void> done;
   asio::post(context_, [&] {
     for (auto const& weak : links_) {
-      if (auto const one = weak.lock()) one->reset_both();
+      if (auto const connection = weak.lock()) connection->reset_both();
     }
     links_.clear();
     done.set_value();
@@ -70,33 +70,34 @@
 
 awaitable<void> fault_proxy::accept_loop() {
   while (true) {
-    auto one = std::make_shared<link>(context_);
-    auto [failure] = co_await acceptor_.async_accept(one->client, k_as_tuple);
+    auto connection = std::make_shared<link>(context_);
+    auto [failure] = co_await acceptor_.async_accept(connection->client, k_as_tuple);
     if (failure) co_return;
     ++connections_;
     if (faults_.refuse) {
-      reset(one->client);
+      reset(connection->client);
       continue;
     }
-    links_.push_back(one);
-    spawn(context_, serve(one));
+    links_.push_back(connection);
+    spawn(context_, serve(connection));
   }
 }
 
-awaitable<void> fault_proxy::serve(std::shared_ptr<link> one) {
+awaitable<void> fault_proxy::serve(std::shared_ptr<link> connection) {
   tcp::endpoint const remote(asio::ip::make_address(target_.address), target_.port);
-  auto [failure] = co_await one->server.async_connect(remote, k_as_tuple);
+  auto [failure] = co_await connection->server.async_connect(remote, k_as_tuple);
   if (failure) {
-    reset(one->client);
+    reset(connection->client);
     co_return;
   }
-  spawn(context_, pump(one, true, faults_.reset_after_request_bytes));
-  spawn(context_, pump(one, false, faults_.reset_after_answer_bytes));
+  spawn(context_, pump(connection, true, faults_.reset_after_request_bytes));
+  spawn(context_, pump(connection, false, faults_.reset_after_answer_bytes));
 }
 
-awaitable<void> fault_proxy::pump(std::shared_ptr<link> one, bool from_client, std::int64_t limit) {
-  tcp::socket& from = from_client ? one->client : one->server;
-  tcp::socket& to = from_client ? one->server : one->client;
+awaitable<void> fault_proxy::pump(std::shared_ptr<link> connection, bool from_client,
+                                  std::int64_t limit) {
+  tcp::socket& from = from_client ? connection->client : connection->server;
+  tcp::socket& to = from_client ? connection->server : connection->client;
   std::array<char, k_piece> buffer{};
   std::int64_t passed = 0;
   while (limit != 0) {
@@ -115,7 +116,7 @@
   }
   bool const cut = limit >= 0 && passed >= limit;
   if (cut) {
-    one->reset_both();
+    connection->reset_both();
   } else {
     boost::system::error_code ignored;
     to.shutdown(tcp::socket::shutdown_send, ignored);
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -41,8 +41,8 @@
  private:
   struct link;
   awaitable<void> accept_loop();
-  awaitable<void> serve(std::shared_ptr<link> one);
-  awaitable<void> pump(std::shared_ptr<link> one, bool from_client, std::int64_t limit);
+  awaitable<void> serve(std::shared_ptr<link> connection);
+  awaitable<void> pump(std::shared_ptr<link> connection, bool from_client, std::int64_t limit);
 
   endpoint target_;
   endpoint listen_;
--- a/tests/support/memory_record_store.cc
+++ b/tests/support/memory_record_store.cc
@@ -12,13 +12,13 @@
 }  // namespace
 
 void memory_record_store::put_now(std::string const& key, std::string const& value) {
-  kv::key_value& one = items_[key];
-  one.key = key;
-  one.value = value;
-  one.mod_revision = ++revision_;
-  if (one.create_revision == 0) one.create_revision = revision_;
+  kv::key_value& item = items_[key];
+  item.key = key;
+  item.value = value;
+  item.mod_revision = ++revision_;
+  if (item.create_revision == 0) item.create_revision = revision_;
   ++writes_[key];
-  history_.push_back({false, one});
+  history_.push_back({false, item});
   changed_.notify_all();
 }
 
@@ -36,8 +36,8 @@
 
 std::vector<kv::key_value> memory_record_store::list_now(std::string const& prefix) const {
   std::vector<kv::key_value> found;
-  for (auto const& [key, one] : items_) {
-    if (key.starts_with(prefix)) found.push_back(one);
+  for (auto const& [key, item] : items_) {
+    if (key.starts_with(prefix)) found.push_back(item);
   }
   return found;
 }
@@ -54,22 +54,23 @@
 
 kv::transaction_answer memory_record_store::apply_now(kv::transaction const& change) {
   kv::transaction_answer answer;
-  bool const holds =
-      std::all_of(change.compares.begin(), change.compares.end(),
-                  [&](kv::compare const& one) { return revision_of(one.key) == one.mod_revision; });
+  bool const holds = std::all_of(change.compares.begin(), change.compares.end(),
+                                 [&](kv::compare const& condition) {
+                                   return revision_of(condition.key) == condition.mod_revision;
+                                 });
   if (!holds) {
-    for (kv::compare const& one : change.compares) {
-      auto const found = items_.find(one.key);
+    for (kv::compare const& condition : change.compares) {
+      auto const found = items_.find(condition.key);
       if (found != items_.end()) answer.read.push_back(found->second);
     }
     return answer;
   }
-  for (kv::operation const& one : change.on_success) {
-    if (one.kind == kv::operation_kind::put) {
-      put_now(one.key, one.value);
-      items_[one.key].lease = one.lease;
+  for (kv::operation const& operation : change.on_success) {
+    if (operation.kind == kv::operation_kind::put) {
+      put_now(operation.key, operation.value);
+      items_[operation.key].lease = operation.lease;
     } else {
-      remove_now(one.key);
+      remove_now(operation.key);
     }
   }
   answer.succeeded = true;
@@ -85,8 +86,8 @@
 void memory_record_store::expire_leases() {
   leases_.clear();
   std::vector<std::string> gone;
-  for (auto const& [key, one] : items_) {
-    if (one.lease != 0) gone.push_back(key);
+  for (auto const& [key, item] : items_) {
+    if (item.lease != 0) gone.push_back(key);
   }
   for (std::string const& key : gone) remove_now(key);
 }
@@ -168,8 +169,8 @@
 awaitable<result<bool>> memory_record_store::end_lease(kv::lease_id lease) {
   std::erase(leases_, lease);
   std::vector<std::string> gone;
-  for (auto const& [key, one] : items_) {
-    if (one.lease == lease) gone.push_back(key);
+  for (auto const& [key, item] : items_) {
+    if (item.lease == lease) gone.push_back(key);
   }
   for (std::string const& key : gone) remove_now(key);
   co_return true;
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -57,7 +57,7 @@
   words.push_back(nullptr);
   std::string variable = "LD_PRELOAD=" + preload;
   std::vector<char*> variables;
-  for (char** one = environ; *one != nullptr; ++one) variables.push_back(*one);
+  for (char** entry = environ; *entry != nullptr; ++entry) variables.push_back(*entry);
   if (!preload.empty()) variables.push_back(variable.data());
   variables.push_back(nullptr);
   int const failure =
@@ -78,12 +78,12 @@
   if (pid_ > 0) ::kill(pid_, number);
 }
 
-void child_process::wake_from_suspension(int milliseconds_slept) {
+void child_process::resume_from_suspension(int suspended_ms) {
   if (pid_ <= 0) return;
   // Heard before anything else when the process goes on.
-  sigval slept{};
-  slept.sival_int = milliseconds_slept;
-  ::sigqueue(pid_, SIGUSR2, slept);
+  sigval duration{};
+  duration.sival_int = suspended_ms;
+  ::sigqueue(pid_, SIGUSR2, duration);
   ::kill(pid_, SIGCONT);
 }
 
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -21,7 +21,7 @@
   void send_signal(int number);
   /// Lets a stopped process go on as after a suspension of its machine: its monotonic clock has
   /// stood still. Only with the library for that, see suspended_process.cc.
-  void wake_from_suspension(int milliseconds_slept);
+  void resume_from_suspension(int suspended_ms);
   /// SIGKILL, and waits for the end.
   void kill();
   /// Waits until the process has ended by itself. @return exit code; -1 if it was killed or still
--- a/tests/support/suspended_process.cc
+++ b/tests/support/suspended_process.cc
@@ -14,10 +14,10 @@
 constexpr std::int64_t k_second_ns = 1'000'000'000;
 constexpr std::int64_t k_millisecond_ns = 1'000'000;
 
-std::atomic<std::int64_t> slept_ns = 0;
+std::atomic<std::int64_t> suspended_ns = 0;
 
 void note_suspension(int, siginfo_t* what, void*) {
-  slept_ns += what->si_value.sival_int * k_millisecond_ns;
+  suspended_ns += what->si_value.sival_int * k_millisecond_ns;
 }
 
 [[gnu::constructor]] void listen() {
@@ -33,7 +33,7 @@
   long const failure = ::syscall(SYS_clock_gettime, clock, when);
   if (failure != 0) return -1;
   if (clock != CLOCK_MONOTONIC) return 0;
-  std::int64_t const nanoseconds = when->tv_sec * k_second_ns + when->tv_nsec - slept_ns;
+  std::int64_t const nanoseconds = when->tv_sec * k_second_ns + when->tv_nsec - suspended_ns;
   when->tv_sec = nanoseconds / k_second_ns;
   when->tv_nsec = nanoseconds % k_second_ns;
   return 0;
--- a/tests/support/suspension.cc
+++ b/tests/support/suspension.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::atomic<std::int64_t> slept_ns = 0;
+std::atomic<std::int64_t> suspended_ns = 0;
 
 constexpr std::int64_t k_second_ns = 1'000'000'000;
 
@@ -24,7 +24,7 @@
   long const failure = ::syscall(SYS_clock_gettime, clock, when);
   if (failure != 0) return -1;
   if (!counts_suspension(clock)) return 0;
-  std::int64_t const nanoseconds = when->tv_nsec + slept_ns;
+  std::int64_t const nanoseconds = when->tv_nsec + suspended_ns;
   when->tv_sec += nanoseconds / k_second_ns;
   when->tv_nsec = nanoseconds % k_second_ns;
   return 0;
@@ -33,7 +33,7 @@
 namespace frostline::testing {
 
 void suspend(milliseconds duration) {
-  slept_ns += std::chrono::duration_cast<std::chrono::nanoseconds>(duration).count();
+  suspended_ns += std::chrono::duration_cast<std::chrono::nanoseconds>(duration).count();
 }
 
 }  // namespace frostline::testing
--- a/tests/support/test_trainer.cc
+++ b/tests/support/test_trainer.cc
@@ -41,15 +41,14 @@
   });
 }
 
-test_trainer::pull_reply test_trainer::pull(std::uint32_t by_node, milliseconds wait,
-                                            bool straight) {
+test_trainer::pull_reply test_trainer::pull(std::uint32_t by_node, milliseconds wait, bool direct) {
   rpc::PullBatchRequestT request;
   request.task = task_;
   request.shard = shard_;
   request.cursor = cursor_;
   request.cursor_identity = identity_;
   request.max_wait_ms = static_cast<std::uint32_t>(wait.count());
-  request.forwarded = straight;
+  request.forwarded = direct;
   return system_.client().call<rpc::PullBatchRequestT, rpc::PullBatchResponseT>(
       system_.node(by_node), "TrainerService", "PullBatch", request, k_call_timeout);
 }
@@ -115,9 +114,9 @@
 std::optional<rpc::ShardStatusT> shard_status(cluster& system, std::string const& task,
                                               std::uint32_t shard, std::uint32_t by_node) {
   std::optional<rpc::ShardStatusT> newest;
-  for (auto const& one : system.status(by_node).shards) {
-    if (one->task != task || one->shard != shard) continue;
-    if (!newest || one->epoch > newest->epoch) newest = *one;
+  for (auto const& candidate : system.status(by_node).shards) {
+    if (candidate->task != task || candidate->shard != shard) continue;
+    if (!newest || candidate->epoch > newest->epoch) newest = *candidate;
   }
   return newest;
 }
--- a/tests/support/test_trainer.h
+++ b/tests/support/test_trainer.h
@@ -22,9 +22,9 @@
   void submit(std::uint64_t first, std::uint64_t count, std::uint32_t samples,
               std::uint32_t max_tokens);
   /// One pull with the durable cursor; changes nothing.
-  /// @param straight ask this node itself, without its passing the pull on.
+  /// @param direct ask this node itself, without its passing the pull on.
   pull_reply pull(std::uint32_t by_node, milliseconds wait = milliseconds(1000),
-                  bool straight = false);
+                  bool direct = false);
   /// A pull with any cursor.
   pull_reply pull_at(std::uint64_t cursor, std::string const& identity, std::uint32_t by_node);
   /// Makes a batch durable: the cursor moves and the journal gets its samples.
