--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -1,5 +1,6 @@
-/// @file A whole system of real processes on loopback: stand-ins of the platform, engines,
-/// application servers and nodes. Shared by the integration tests and the rehearsals.
+/// @file Runs a complete system as separate processes on loopback: gateway nodes and stand-ins for
+/// the platform services, engines and application servers. Used by integration tests and
+/// rehearsals.
 #pragma once
 
 #include <boost/json.hpp>
@@ -15,31 +16,32 @@
 
 namespace frostline::testing {
 
-/// Size and pace of a system.
+/// Number of processes in the system and their speed.
 struct cluster_options {
   std::uint32_t nodes = 3;
   std::uint32_t engines = 2;
   std::uint32_t apps = 2;
-  /// The first so many nodes have a data folder.
+  /// Number of nodes with a data folder, counted from node 0.
   std::uint32_t disk_nodes = 3;
   std::uint32_t slots = 16;
   std::uint32_t step_us = 1000;
   std::uint32_t load_ms = 50;
   std::uint32_t app_service_ms = 1;
-  /// Requests that an application server serves at once.
+  /// Requests that an application server handles concurrently.
   std::uint32_t app_slots = 64;
   std::uint32_t list_lag_ms = 0;
-  /// Requests a second of the key-value service; 0 is no limit.
+  /// Requests per second that the key-value service accepts; 0 means unlimited.
   std::uint32_t kv_rate_limit = 0;
   std::string log_level = "info";
 };
 
-/// Engines so slow that samples of some hundred tokens are still running when a test interferes.
+/// Returns options with engines slow enough that samples of a few hundred tokens are still in
+/// flight when a test injects a fault.
 cluster_options with_slow_engines();
 
 class cluster {
  public:
-  /// Lays out files below `folder` and starts everything; returns when all nodes are ready.
+  /// Writes the settings below `folder`, starts all processes and waits until all nodes are ready.
   cluster(std::string folder, cluster_options options);
 
   endpoint const& node(std::uint32_t index) const { return nodes_.at(index); }
@@ -56,23 +58,23 @@
   static std::string app_name(std::uint32_t index) { return "app-" + std::to_string(index); }
   static std::string node_name(std::uint32_t index) { return "node-" + std::to_string(index); }
 
-  /// The process of "kv", "engine-0", "node-1" and so on.
+  /// Returns the process with this name, such as "kv", "engine-0" or "node-1".
   child_process& process(std::string const& name) { return *processes_.at(name); }
   void start_node(std::uint32_t index);
   void start_engine(std::uint32_t index);
-  /// Tells the machine list that a machine leaves, or that it is live with a new incarnation.
+  /// Sets the state and incarnation of a machine in the machine list.
   void list_machine(std::string const& id, std::string const& state, std::uint64_t incarnation);
-  /// Gives a machine another address in the list, such as that of a proxy before it.
+  /// Changes the address of a machine in the machine list, for example to that of a fault proxy.
   void relocate(std::string const& id, endpoint const& address);
-  /// What a process has written so far.
+  /// Returns the log of a process so far.
   std::string process_log(std::string const& name) const;
   void set_faults(endpoint const& standin, boost::json::object faults);
-  /// Waits until a write that the key-value service's faults hold up has arrived there.
+  /// Waits until the key-value service has received a write that its faults delay.
   void wait_for_delayed_write(std::string const& what);
-  /// Notes in the journals that a back end leaves from now on, for the checker.
+  /// Records in the journals, for the checker, that a back end is being removed.
   void record_removal(std::string const& back_end);
 
-  /// Operator calls by way of node 0 (or another).
+  /// Operator calls, sent to node 0 or to `by_node`.
   rpc::ChangeResponseT put_task(std::string const& name, std::uint32_t bound,
                                 std::uint32_t batch_size, std::uint32_t shards);
   rpc::ChangeResponseT publish(std::string const& task, std::uint64_t version,
@@ -85,11 +87,11 @@
   rpc::ChangeResponseT drain(std::string const& back_end);
   rpc::GetStatusResponseT status(std::uint32_t by_node = 0, bool local_only = false);
 
-  /// Waits until `condition` holds; throws with `what` after `timeout`.
+  /// Waits until `condition` returns true; throws an error that contains `what` after `timeout`.
   static void wait_until(std::string const& what, std::function<bool()> condition,
                          milliseconds timeout = milliseconds(30'000));
   rpc::blocking_client& client() { return client_; }
-  /// Starts frostline-load with these arguments, its output in the folder.
+  /// Starts frostline-load with `arguments`; its output goes to `log_name` in the run folder.
   child_process start_load(std::string const& log_name, std::vector<std::string> arguments);
   std::string node_list() const;
 
@@ -126,20 +128,20 @@
   rpc::blocking_client client_;
 };
 
-/// A pause between two tries of a loop that a condition ends.
+/// Sleeps for the interval between two checks of a polling loop.
 void pause_before_retry();
 
-/// A loopback address that no other run uses, so that runs side by side can't take each other's
+/// Returns a loopback address that no other run uses, so that concurrent runs don't compete for
 /// ports.
 std::string unique_loopback_address();
 
-/// A port of `address` that is free now and was not given before.
+/// Returns an endpoint on `address` whose port is free and was not returned before.
 endpoint free_endpoint(std::string const& address);
 
-/// Where one of the project's programs was built.
+/// Returns the path of one of the project's built programs.
 std::string program_path(std::string const& program);
 
-/// A new empty folder for one run.
+/// Creates a new empty folder for one run and returns its path.
 std::string make_run_folder(std::string const& name);
 
 }  // namespace frostline::testing
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -1,4 +1,4 @@
-/// @file A record store as one node reaches it: it can be cut off while other nodes are served.
+/// @file A record store decorator that simulates a partition between one node and the store.
 #pragma once
 
 #include "kv/record_store.h"
@@ -9,12 +9,12 @@
  public:
   explicit cut_off_store(kv::record_store& store) : store_(store) {}
 
-  /// Calls fail from now on; those that wait have no answer.
+  /// While set, calls fail as unavailable, including those in flight.
   void set_cut(bool cut) { cut_ = cut; }
-  /// Watches are not answered from now on, those that wait among them; all other calls are.
+  /// While set, watches time out without an answer, including those in flight; other calls succeed.
   void set_watches_silent(bool deaf) { watches_silent_ = deaf; }
   std::uint64_t lists() const { return lists_; }
-  /// Lists of servers' records among them.
+  /// Number of list calls for the prefix "servers/".
   std::uint64_t server_lists() const { return server_lists_; }
   std::uint64_t watches() const { return watches_; }
   std::uint64_t probes() const { return probes_; }
--- a/tests/support/fault_proxy.cc
+++ b/tests/support/fault_proxy.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t k_piece = 16 * 1024;
 constexpr milliseconds k_stall_poll{5};
 
-/// Closes so that the peer sees a reset instead of a clean end.
+/// Closes the socket with a TCP reset instead of an orderly shutdown.
 void reset(tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -1,4 +1,4 @@
-/// @file A TCP proxy in a thread of its own that breaks connections in chosen ways.
+/// @file A TCP proxy with its own thread that injects connection faults.
 #pragma once
 
 #include <atomic>
@@ -10,17 +10,17 @@
 
 namespace frostline::testing {
 
-/// What happens to each new connection; -1 switches a fault off.
+/// Faults applied to each new connection; -1 disables a byte limit.
 struct proxy_faults {
-  /// Reset both sides after so many bytes from the client have been passed on.
+  /// Resets both sides after forwarding this many bytes from the client.
   std::int64_t reset_after_request_bytes = -1;
-  /// Reset both sides after so many bytes from the server have been passed on.
+  /// Resets both sides after forwarding this many bytes from the server.
   std::int64_t reset_after_answer_bytes = -1;
-  /// Pass nothing on, keep connections open.
+  /// Forwards nothing but keeps connections open.
   bool stall = false;
-  /// Close new connections at once.
+  /// Closes new connections immediately.
   bool refuse = false;
-  /// Pass each piece on this much later.
+  /// Delay before each chunk is forwarded.
   std::int64_t delay_ms = 0;
 };
 
@@ -32,7 +32,7 @@
   fault_proxy& operator=(fault_proxy const&) = delete;
 
   endpoint const& listen() const { return listen_; }
-  /// Holds for connections that come from now on; `stall` and `delay_ms` for all.
+  /// Sets the faults for new connections; `stall` and `delay_ms` also apply to open ones.
   void set(proxy_faults faults);
   /// Resets all connections.
   void reset_all();
--- a/tests/support/memory_record_store.cc
+++ b/tests/support/memory_record_store.cc
@@ -6,7 +6,7 @@
 namespace frostline::testing {
 namespace {
 
-/// After that long a caller knows that a call has no answer.
+/// Time after which a call without an answer fails.
 constexpr milliseconds k_lost_call_time{900};
 
 }  // namespace
--- a/tests/support/memory_record_store.h
+++ b/tests/support/memory_record_store.h
@@ -1,4 +1,4 @@
-/// @file A record store in memory for unit tests, with lost answers and late writes.
+/// @file An in-memory record store for unit tests that can lose answers and delay writes.
 #pragma once
 
 #include <functional>
@@ -31,22 +31,22 @@
   std::vector<kv::key_value> list_now(std::string const& prefix) const;
   kv::revision revision_of(std::string const& key) const;
   std::uint32_t writes_of(std::string const& key) const;
-  /// The next transactions take effect and have no answer.
+  /// The next `count` transactions are applied, but their callers get no answer.
   void lose_answers(std::uint32_t count) { lost_answers_ = count; }
-  /// The next renewals of leases have no answer and no effect.
+  /// The next `count` lease renewals are dropped and get no answer.
   void lose_renewals(std::uint32_t count) { lost_renewals_ = count; }
-  /// The next transaction has no answer and takes effect with apply_delayed, if it still may.
+  /// The next transaction gets no answer; apply_delayed() applies it if its conditions still hold.
   void delay_next_write() { delay_next_ = true; }
   void apply_delayed();
-  /// Runs once, between the next transaction and its answer.
+  /// Runs `action` once, after the next transaction is applied and before it is answered.
   void before_next_answer(std::function<void()> action) { before_answer_ = std::move(action); }
-  /// Every lease runs out.
+  /// Expires all leases.
   void expire_leases();
-  /// Records that one answer holds.
+  /// Sets the maximum number of records in one answer.
   void set_page(std::size_t records) { page_ = records; }
-  /// Watches from before now get no history.
+  /// Drops the history: watches from an earlier revision fail as compacted.
   void compact();
-  /// No call is answered: all fail as unavailable.
+  /// While set, all calls fail as unavailable.
   void set_down(bool down) { down_ = down; }
   std::uint64_t watches() const { return watches_; }
 
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -21,7 +21,7 @@
 
 constexpr std::chrono::milliseconds k_poll{10};
 
-/// Processes that run, so that none outlives a test that ends by an exception.
+/// Running child processes, so that none outlives a test that ends with an exception.
 std::set<pid_t>& running_processes() {
   static std::set<pid_t> pids;
   return pids;
@@ -49,7 +49,8 @@
   int const flags = O_WRONLY | O_CREAT | O_APPEND;
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_path_.c_str(), flags, 0644);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // A child that inherited a stand-in's listener would keep its port open when the stand-in ends.
+  // A child that inherited a stand-in's listening socket would keep the port open after the
+  // stand-in closes it.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   std::set_terminate(end_all_processes);
   std::vector<char*> words = {const_cast<char*>(program.c_str())};
@@ -80,7 +81,7 @@
 
 void child_process::resume_from_suspension(int suspended_ms) {
   if (pid_ <= 0) return;
-  // Heard before anything else when the process goes on.
+  // Queued before SIGCONT, so that the clock is adjusted before the process continues.
   sigval duration{};
   duration.sival_int = suspended_ms;
   ::sigqueue(pid_, SIGUSR2, duration);
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,4 +1,4 @@
-/// @file A child process of a test: its own log file, signals by pid, ended with its owner.
+/// @file A child process with its own log file; it is killed when its owner is destroyed.
 #pragma once
 
 #include <sys/types.h>
@@ -10,8 +10,8 @@
 
 class child_process {
  public:
-  /// Starts `program`; both of its outputs go to `log_path`.
-  /// @param preload a library to load into it first; empty: none.
+  /// Starts `program` with stdout and stderr redirected to `log_path`.
+  /// @param preload path of a library for LD_PRELOAD; empty for none.
   child_process(std::string const& program, std::vector<std::string> const& arguments,
                 std::string log_path, std::string const& preload = "");
   ~child_process();
@@ -19,13 +19,13 @@
   child_process& operator=(child_process&&) = delete;
 
   void send_signal(int number);
-  /// Lets a stopped process go on as after a suspension of its machine: its monotonic clock has
-  /// stood still. Only with the library for that, see suspended_process.cc.
+  /// Continues a stopped process as if its machine had been suspended: its monotonic clock does not
+  /// advance by `suspended_ms`. Requires the preloaded library of suspended_process.cc.
   void resume_from_suspension(int suspended_ms);
-  /// SIGKILL, and waits for the end.
+  /// Sends SIGKILL and waits for the process to exit.
   void kill();
-  /// Waits until the process has ended by itself. @return exit code; -1 if it was killed or still
-  /// runs after `timeout_seconds`.
+  /// Waits until the process exits. @return exit code; -1 if it was killed by a signal or is still
+  /// running after `timeout_seconds`.
   int wait(int timeout_seconds);
   bool is_running();
   pid_t pid() const { return pid_; }
--- a/tests/support/process_cost.h
+++ b/tests/support/process_cost.h
@@ -1,4 +1,4 @@
-/// @file What a process has cost, from /proc.
+/// @file CPU time and memory of a process, read from /proc.
 #pragma once
 
 #include <sys/types.h>
--- a/tests/support/raw_connection.h
+++ b/tests/support/raw_connection.h
@@ -1,4 +1,4 @@
-/// @file A TCP connection on which a test says exactly what it wants.
+/// @file A TCP connection on which a test sends raw bytes.
 #pragma once
 
 #include <string>
@@ -13,11 +13,11 @@
   explicit raw_connection(endpoint const& where);
 
   void send(std::string const& bytes);
-  /// Ends the sending side only.
+  /// Shuts down the sending side only.
   void finish_sending();
-  /// Reads until the peer closes, `until` has been read, or `timeout` has passed.
+  /// Reads until the peer closes, `until` has been received, or `timeout` has passed.
   std::string read(std::string const& until = {}, milliseconds timeout = milliseconds(5000));
-  /// Whether the peer has closed or reset the connection.
+  /// Returns true if the peer has closed or reset the connection.
   bool closed() const { return closed_; }
 
  private:
--- a/tests/support/silent_connections.cc
+++ b/tests/support/silent_connections.cc
@@ -15,7 +15,7 @@
 namespace frostline::testing {
 namespace {
 
-/// A descriptor that is closed at the end.
+/// Owns a file descriptor.
 class descriptor {
  public:
   explicit descriptor(long number) : number_(static_cast<int>(number)) {}
@@ -34,7 +34,7 @@
 
 using name_call = int (*)(int, sockaddr*, socklen_t*);
 
-/// An address of a TCP socket; nothing if it has none, or is another kind of socket.
+/// Returns an address of a TCP socket; nothing if it has no address or is not a TCP socket.
 std::optional<tcp::endpoint> address_of(int socket, name_call call) {
   tcp::endpoint found;
   socklen_t size = static_cast<socklen_t>(found.capacity());
@@ -50,7 +50,7 @@
   return ::getsockopt(socket, SOL_SOCKET, SO_TYPE, &kind, &size) == 0 && kind == SOCK_STREAM;
 }
 
-/// The kernel drops whatever arrives from now on.
+/// Attaches a socket filter that drops all incoming data.
 void drop_arrivals(int socket) {
   sock_filter drop_all = BPF_STMT(BPF_RET | BPF_K, 0);
   sock_fprog const program{1, &drop_all};
@@ -66,13 +66,13 @@
   if (!handle.is_open()) throw std::system_error(errno, std::generic_category(), "pidfd_open");
   std::size_t silenced = 0;
   std::string const folder = "/proc/" + std::to_string(process) + "/fd";
-  // A process that ends meanwhile has no connections any more.
+  // The process may exit meanwhile; it then has no connections left.
   boost::system::error_code ended;
   for (boost::filesystem::directory_iterator entry(folder, ended), end; !ended && entry != end;
        entry.increment(ended)) {
     int const number = std::stoi(entry->path().filename().string());
     descriptor const copy(::syscall(SYS_pidfd_getfd, handle.number(), number, 0));
-    // It may have been closed meanwhile.
+    // The descriptor may have been closed meanwhile.
     if (!copy.is_open() || !is_stream(copy.number())) continue;
     auto const peer = address_of(copy.number(), ::getpeername);
     auto const local = address_of(copy.number(), ::getsockname);
--- a/tests/support/silent_connections.h
+++ b/tests/support/silent_connections.h
@@ -1,6 +1,6 @@
-/// @file Makes open TCP connections of processes go silent for good, as a firewall that has
-/// forgotten them does: what arrives on them is dropped by the kernel, unacknowledged and without a
-/// reset. New connections work.
+/// @file Makes open TCP connections permanently silent, like a firewall that dropped their state:
+/// the kernel discards incoming segments without an acknowledgment or a reset. New connections
+/// work.
 #pragma once
 
 #include <sys/types.h>
@@ -15,8 +15,9 @@
 using connection_filter =
     std::function<bool(tcp::endpoint const& local, tcp::endpoint const& peer)>;
 
-/// Silences the end that `process` holds of each connection which is open now and for which
-/// `chosen` is true. @param process this one, or a child. @return how many connections.
+/// Silences the side of `process` of each open connection for which `chosen` returns true.
+/// @param process the calling process or one of its children.
+/// @return number of silenced connections.
 std::size_t silence_connections(pid_t process, connection_filter const& chosen);
 
 }  // namespace frostline::testing
--- a/tests/support/suspended_process.cc
+++ b/tests/support/suspended_process.cc
@@ -1,5 +1,5 @@
-/// @file Loaded into a process of a test: makes its monotonic clock stand still for as long as a
-/// signal says, as after a suspension of the machine. The test stops the process meanwhile.
+/// @file Preloaded into a process under test: SIGUSR2 with a duration in milliseconds sets its
+/// monotonic clock back by that much, to simulate a suspension while the process was stopped.
 
 #include <signal.h>
 #include <sys/syscall.h>
--- a/tests/support/suspension.cc
+++ b/tests/support/suspension.cc
@@ -12,14 +12,14 @@
 
 constexpr std::int64_t k_second_ns = 1'000'000'000;
 
-/// Whether a clock of the kernel counts the time in which a machine is suspended.
+/// Returns true if a kernel clock includes the time during which the machine is suspended.
 bool counts_suspension(clockid_t clock) {
   return clock == CLOCK_BOOTTIME || clock == CLOCK_REALTIME;
 }
 
 }  // namespace
 
-/// Stands in front of the C library's function of this name, for this program and its libraries.
+/// Overrides the C library's function for this program and its libraries.
 extern "C" int clock_gettime(clockid_t clock, timespec* when) noexcept {
   long const failure = ::syscall(SYS_clock_gettime, clock, when);
   if (failure != 0) return -1;
--- a/tests/support/test_trainer.h
+++ b/tests/support/test_trainer.h
@@ -1,5 +1,5 @@
-/// @file A trainer that a test moves step by step. What it makes durable goes into the journal that
-/// the checker reads.
+/// @file A trainer that a test drives step by step. It writes the samples that it makes durable to
+/// the journal that the checker reads.
 #pragma once
 
 #include <map>
@@ -15,27 +15,27 @@
  public:
   using pull_reply = rpc::reply<rpc::PullBatchResponseT>;
 
-  /// Pulls one shard of `task`.
+  /// Creates a trainer that pulls from one shard of `task`.
   test_trainer(cluster& system, std::string task, std::uint32_t shard = 0);
 
-  /// Submits `count` groups from `first` on; tries until they are accepted.
+  /// Submits `count` groups, starting with number `first`; retries until they are accepted.
   void submit(std::uint64_t first, std::uint64_t count, std::uint32_t samples,
               std::uint32_t max_tokens);
-  /// One pull with the durable cursor; changes nothing.
-  /// @param direct ask this node itself, without its passing the pull on.
+  /// Pulls once with the durable cursor, without advancing it.
+  /// @param direct the node must answer itself and not forward the pull.
   pull_reply pull(std::uint32_t by_node, milliseconds wait = milliseconds(1000),
                   bool direct = false);
-  /// A pull with any cursor.
+  /// Pulls once with the given cursor.
   pull_reply pull_at(std::uint64_t cursor, std::string const& identity, std::uint32_t by_node);
-  /// Makes a batch durable: the cursor moves and the journal gets its samples.
+  /// Makes a batch durable: advances the cursor and writes the samples to the journal.
   void keep(rpc::PullBatchResponseT const& answer);
-  /// Pulls and keeps until `wanted` samples are kept in all; asks nodes in turn.
+  /// Pulls from the nodes in turn until `wanted` samples in total are durable.
   void pull_until(std::size_t wanted, milliseconds timeout = milliseconds(60'000));
 
   std::size_t kept() const { return kept_; }
   std::uint64_t cursor() const { return cursor_; }
   std::string const& identity() const { return identity_; }
-  /// Nodes that are asked in turn.
+  /// Nodes to pull from, in round-robin order.
   std::vector<std::uint32_t> ask = {0, 1, 2};
 
  private:
@@ -48,14 +48,14 @@
   std::size_t kept_ = 0;
 };
 
-/// Name of the node that owns a shard, as `by_node` knows it; empty if none does.
+/// Returns the name of the node that owns a shard according to `by_node`; empty if none does.
 std::string owner_of(cluster& system, std::string const& task, std::uint32_t shard,
                      std::uint32_t by_node);
 
-/// Index at the end of a name such as "node-2".
+/// Returns the index at the end of a name such as "node-2".
 std::uint32_t index_of(std::string const& name);
 
-/// The status of a shard from its owner; nothing if no owner answers.
+/// Returns the shard's status as reported by its owner; nothing if no owner answers.
 std::optional<rpc::ShardStatusT> shard_status(cluster& system, std::string const& task,
                                               std::uint32_t shard, std::uint32_t by_node);
 
@@ -63,11 +63,11 @@
 std::uint32_t wait_for_owner(cluster& system, std::string const& task, std::uint32_t shard,
                              std::uint32_t by_node);
 
-/// Waits until so many samples of a shard are finished and undelivered.
+/// Waits until `wanted` samples of a shard are finished but not delivered.
 void wait_for_finished(cluster& system, std::string const& task, std::uint32_t shard,
                        std::uint32_t by_node, std::uint32_t wanted);
 
-/// The checker's verdict on the journals so far.
+/// Runs the checker on the journals written so far.
 load::check_report check_run(cluster& system);
 std::string describe(load::check_report const& report);
 
