--- a/tests/platform_standin/cluster_queries.cc
+++ b/tests/platform_standin/cluster_queries.cc
@@ -5,7 +5,7 @@
 namespace frostline::testing {
 namespace {
 
-/// Of one server; on the stand-ins' thread.
+/// Counts the arrivals at one server. Call on the stand-ins' thread.
 std::size_t count_at(server_standin const& server, std::string const& prefix, bool only_runs) {
   std::size_t count = 0;
   for (arrival const& entry : server.arrivals()) {
--- a/tests/platform_standin/cluster_queries.h
+++ b/tests/platform_standin/cluster_queries.h
@@ -1,4 +1,4 @@
-/// @file What tests ask of a whole system's stand-ins, and set at all of them at once.
+/// @file Queries over all stand-ins of a platform_cluster, and settings for all of them at once.
 #pragma once
 
 #include <string>
@@ -8,24 +8,25 @@
 
 namespace frostline::testing {
 
-/// Three zones with servers enough for a request that ends one after the other.
+/// Returns options for three zones with enough servers to survive a poison request.
 platform_options with_many_servers();
 
-/// Requests that have reached servers and whose identifiers begin so, refused ones too.
+/// Counts requests, including refused ones, that reached servers and whose identifiers start with
+/// `prefix`.
 std::size_t count_arrivals(platform_cluster& system, std::string const& prefix);
-/// Of these, the ones that were run.
+/// Like count_arrivals(), but counts only requests that were run.
 std::size_t count_runs(platform_cluster& system, std::string const& prefix);
-/// Times at which a request that ends its servers reached one, in their order.
+/// Returns the times at which poison requests reached a server, sorted.
 std::vector<time_point> poison_arrivals(platform_cluster& system);
-/// Records of the store whose keys begin so.
+/// Counts records in the store whose keys start with `prefix`.
 std::size_t count_records(platform_cluster& system, std::string const& prefix);
-/// Key prefix of the records of requests that are kept from servers, or suspected.
+/// Key prefix of the records of requests that are quarantined or suspected.
 inline constexpr char k_quarantine_records[] = "frostline/quarantine/";
 
-/// From now on all servers of this kind refuse everything as full, or no longer.
+/// While set, all servers of this kind refuse every request as full.
 void set_engines_full(platform_cluster& system, bool full);
 void set_apps_full(platform_cluster& system, bool full);
-/// From now on the store answers nothing, or again.
+/// While set, the store answers no request.
 void set_store_silent(platform_cluster& system, bool silent);
 
 }  // namespace frostline::testing
--- a/tests/platform_standin/duty_standin.h
+++ b/tests/platform_standin/duty_standin.h
@@ -1,5 +1,5 @@
-/// @file Stand-in of the platform's service for calls of one node at a time, which checks no
-/// fences: it takes reports of usage and notes what a real one would hold against the callers.
+/// @file Stand-in for the platform's duty service, which one node at a time calls. It accepts usage
+/// reports without checking fences and records them, so that violations can be listed later.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,13 @@
 
 namespace frostline::testing {
 
-/// What goes wrong at the service; read on its own thread only.
+/// Injected faults. Access only on the stand-ins' thread.
 struct duty_faults {
-  /// Calls get no answer and do nothing.
+  /// Calls get no answer and have no effect.
   bool silent = false;
-  /// Calls get 429 and do nothing.
+  /// Calls are answered 429 and have no effect.
   bool busy = false;
-  /// So many calls are taken and never answered.
+  /// Number of calls that are accepted but never answered.
   std::uint32_t lost_answers = 0;
 };
 
@@ -36,12 +36,12 @@
   duty_standin(asio::io_context& context, endpoint where);
 
   duty_faults& faults() { return faults_; }
-  /// All that were taken, in the order of their arrival.
+  /// Returns all accepted calls in order of arrival.
   std::vector<duty_call> const& calls() const { return calls_; }
-  /// What the calls broke: two reports of one window that differ, a fence that goes back or is two
-  /// holders', holders that take turns within `turn_gap`. One text for each.
+  /// Returns one text for each violation: reports of the same window that differ, a fence that
+  /// decreases or is shared by two holders, or holders that alternate within `turn_gap`.
   std::vector<std::string> violations(milliseconds turn_gap) const;
-  /// Requests of a tenant in all windows together, each counted once.
+  /// Returns the number of requests reported for a tenant, counting each window once.
   std::uint64_t reported(std::string const& tenant) const;
 
  private:
--- a/tests/platform_standin/platform_cluster.cc
+++ b/tests/platform_standin/platform_cluster.cc
@@ -205,7 +205,7 @@
 void platform_cluster::touch_settings(std::size_t index) {
   write_settings(index);
   boost::filesystem::path const file = folder_ + "/node-" + std::to_string(index) + ".toml";
-  // Times of files may be whole seconds.
+  // File systems may store modification times in whole seconds.
   boost::filesystem::last_write_time(file, boost::filesystem::last_write_time(file) + 2);
 }
 
@@ -214,7 +214,7 @@
   write_settings(index);
   std::string const name = folder_ + "/node-" + std::to_string(index);
   std::vector<std::string> const arguments = {"--config=" + name + ".toml"};
-  // Each start has a log of its own.
+  // Each process writes its own log file.
   static std::size_t starts = 0;
   logs_[index] = name + "." + std::to_string(++starts) + ".log";
   std::string const preload =
@@ -303,8 +303,7 @@
                                           std::string const& request_id, std::string const& body,
                                           milliseconds deadline,
                                           std::optional<std::string> const& key) const {
-  // The blocking client names the node as host, which no route knows: a proxy's absolute form is
-  // not wanted either, so the request is written by hand.
+  // The blocking client would send the node's address as Host, which matches no route.
   http::request message(method, path, 11);
   message.set(http::field::host, k_host);
   if (!request_id.empty()) message.set("X-Frostline-Request-Id", request_id);
@@ -349,10 +348,10 @@
 void platform_cluster::call_and_disconnect(std::size_t node, std::string const& path,
                                            std::string const& request_id, std::string const& body,
                                            milliseconds read_timeout) {
-  constexpr milliseconds k_told_deadline{5000};
+  constexpr milliseconds k_request_deadline{5000};
   auto const message =
-      make_call(http::verb::post, path, request_id, body, k_told_deadline, std::nullopt);
-  // Nobody reads an answer that comes sooner.
+      make_call(http::verb::post, path, request_id, body, k_request_deadline, std::nullopt);
+  // Any answer that arrives before the timeout is ignored.
   static_cast<void>(exchange(node, message, read_timeout));
 }
 
--- a/tests/platform_standin/platform_cluster.h
+++ b/tests/platform_standin/platform_cluster.h
@@ -1,5 +1,5 @@
-/// @file A whole system on the users' platform: real gateway processes before stand-ins of the
-/// store and the servers, which run on a thread of the test.
+/// @file Runs a complete system on the users' platform: real gateway processes, with stand-ins for
+/// the store and the servers that run on a thread of the test process.
 #pragma once
 
 #include <boost/json.hpp>
@@ -27,32 +27,32 @@
   std::uint32_t apps = 2;
   std::uint32_t events = 5;
   milliseconds event_gap{5};
-  /// Each node reaches the store through a proxy of its own.
+  /// Each node connects to the store through its own fault proxy.
   bool proxied_store = false;
-  /// Nodes stand in that many zones, in turn.
+  /// Number of zones; nodes are assigned to them round-robin.
   std::uint32_t zones = 1;
-  /// "tenants" of the first configuration, as JSON; empty: there are none.
+  /// Value of "tenants" in the initial configuration, as JSON; empty for no tenants.
   std::string tenants;
-  /// Nodes report usage for windows of this length to the stand-in of the duty service; 0: none.
+  /// Length of the windows for which nodes report usage to the duty stand-in; 0 disables reports.
   milliseconds usage_window{0};
-  /// A window's usage is due that long after its end.
+  /// Time after the end of a window at which its usage is due.
   milliseconds usage_delay{1500};
-  /// Nodes can be suspended.
+  /// Allows suspend() and wake().
   bool suspendable = false;
 };
 
-/// One item of a job, in the words of the test.
+/// One item of a job, from which the request body is built.
 struct test_item {
   std::string id;
   std::string group;
   bool scored = true;
   std::string scorer_path = "/calls/score";
-  /// Ends of the bodies of its request and of its scorer's.
+  /// Text appended to the request body and to the body of the scorer's call.
   std::string prompt;
   std::string scorer_body;
 };
 
-/// Whom connections of nodes lead to.
+/// The peers of the nodes whose connections are selected.
 enum class connected_part { store, servers, nodes, all };
 
 class platform_cluster {
@@ -80,19 +80,19 @@
   std::size_t nodes() const { return nodes_.size(); }
   /// The proxy between a node and the store; only with `proxied_store`.
   fault_proxy& store_proxy(std::size_t node) { return *store_proxies_.at(node); }
-  /// Connections to these that are open now go silent for good, at both ends and without a reset;
-  /// new ones work. @return how many ends.
+  /// Makes the open connections to these peers permanently silent on both sides, without a reset;
+  /// new connections work. @return number of silenced sockets.
   std::size_t silence_connections(connected_part part);
-  /// From now on a request whose body holds this text ends the server that runs it; empty: none.
+  /// Makes requests whose body contains `text` crash the server that runs them; empty for none.
   void set_crash_text(std::string const& text);
   void announce(server_standin const& server, std::string const& state);
   void withdraw(server_standin const& server);
   void put_config(std::uint64_t version, std::string const& extra_routes = "");
   /// Takes effect with the next put_config. @param tenants as JSON.
   void set_tenants(std::string const& tenants) { options_.tenants = tenants; }
-  /// From now on calls carry this key; empty: none.
+  /// Sets the API key sent with subsequent calls; empty for none.
   void use_key(std::string const& key) { api_key_ = key; }
-  /// From now on calls carry this header, too; with an empty name none.
+  /// Sets an additional header sent with subsequent calls; an empty name removes it.
   void use_header(std::string const& name, std::string const& value) {
     header_name_ = name;
     header_value_ = value;
@@ -100,51 +100,50 @@
   void name_version(std::uint64_t version);
 
   void start_node(std::size_t index);
-  /// Writes a node's settings file again, with a later time.
+  /// Rewrites a node's settings file with a later modification time.
   void touch_settings(std::size_t index);
   child_process& node(std::size_t index) { return *nodes_.at(index); }
-  /// Stops a node as if its machine slept, and lets it go on; a process that has not slept is not
-  /// woken. Only with `suspendable`.
+  /// Stops a node as if its machine were suspended, and continues it; wake() does nothing for a
+  /// node that is not suspended. Requires `suspendable`.
   void suspend(std::size_t index);
   void wake(std::size_t index);
   bool is_ready(std::size_t index);
-  /// What the node's present process has written.
+  /// Returns the log of the node's current process.
   std::string log(std::size_t index) const;
   std::string const& folder() const { return folder_; }
-  /// Index of the node that owns the pool, by the store's record; waits until one does.
+  /// Waits until the store names an owner of the pool. @return the owner's index.
   std::size_t owner();
-  /// Index of the node that relays records in a zone, by the store's record; waits until one does.
+  /// Waits until the store names a relay for a zone. @return the relay's index.
   std::size_t relay(std::uint32_t zone = 0);
   std::optional<std::size_t> find_relay(std::uint32_t zone = 0);
   std::optional<std::size_t> find_owner();
-  /// Index of the node that holds the duties, by the store's record; waits until one does.
+  /// Waits until the store names a holder of the duties. @return the holder's index.
   std::size_t duty_holder();
   std::optional<std::size_t> find_duty_holder();
-  /// One call to a node's client address.
-  /// @param key instead of the one of use_key.
+  /// Sends one request to a node's client address.
+  /// @param key API key that replaces the one set by use_key().
   result<http::response> call(std::size_t node, http::verb method, std::string const& path,
                               std::string const& request_id, std::string const& body = "",
                               milliseconds timeout = milliseconds(5000),
                               std::optional<std::string> const& key = std::nullopt);
-  /// A client that says it waits for seconds, and closes its connection after `read_timeout`
-  /// instead.
+  /// Sends a request with a deadline of 5 s, but closes the connection after `read_timeout`.
   void call_and_disconnect(std::size_t node, std::string const& path, std::string const& request_id,
                            std::string const& body, milliseconds read_timeout);
   unsigned submit(std::size_t node, std::string const& job, std::vector<test_item> const& items,
                   std::uint64_t min_version = 1);
   /// Ends a job. @return the status; 0 without an answer.
   unsigned end_job(std::size_t node, std::string const& job);
-  /// Asks for the body of a job's item.
+  /// Reads the body of a job's item.
   result<http::response> item_body(std::size_t node, std::string const& job,
                                    std::string const& item);
-  /// An answer's proof that it is a server's own.
+  /// Returns the header of an answer that proves which server produced it.
   static std::string stamp_of(http::response const& answer);
-  /// Asks for a storage machine to be emptied, as an operator does.
+  /// Writes the operator's request to evacuate a storage machine.
   void request_evacuation(std::string const& machine);
   bool is_reported_empty(std::string const& machine);
-  /// Status with which a node answers a call for a job's results; 0 without an answer.
+  /// Returns the HTTP status of a request for a job's results; 0 without an answer.
   unsigned results_status(std::size_t node, std::string const& job);
-  /// Results of a job from a position on; nothing if the node does not answer 200.
+  /// Returns the results of a job after a position; nothing if the status is not 200.
   std::optional<boost::json::object> results(std::size_t node, std::string const& job,
                                              std::uint64_t after = 0);
   /// Waits until `count` results are listed.
@@ -160,10 +159,10 @@
   http::request make_call(http::verb method, std::string const& path, std::string const& request_id,
                           std::string const& body, milliseconds deadline,
                           std::optional<std::string> const& key) const;
-  /// Sends a request to a node's client address and reads its answer, for `read_timeout` at most.
+  /// Sends a request to a node's client address and reads the answer within `read_timeout`.
   result<http::response> exchange(std::size_t node, http::request const& message,
                                   milliseconds read_timeout) const;
-  /// Index of the node that a record of the store names.
+  /// Returns the index of the node named by a record of the store.
   std::optional<std::size_t> find_named(std::string const& key);
 
   platform_options options_;
--- a/tests/platform_standin/server_standin.cc
+++ b/tests/platform_standin/server_standin.cc
@@ -198,7 +198,7 @@
   arrival entry = note(message);
   bool const refused = refuses(message);
   entry.ran = !refused;
-  // What a silent server does is not seen; that the request reached it is.
+  // A silent server still records that the request arrived.
   if (is_request) arrivals_.push_back(entry);
   if (faults_.silent) {
     if (target == "/api/order") note_order(message.body());
@@ -225,7 +225,7 @@
   arrival entry = note(message);
   entry.ran = true;
   arrivals_.push_back(entry);
-  // By turns nothing at all is answered, or some of it.
+  // Alternates between no answer and a partial one.
   if (faults_.cuts % 2 == 0) co_return;
   http::response head = http::make_response(http::status::ok, "", "text/plain");
   set(head, k_id, entry.request);
--- a/tests/platform_standin/server_standin.h
+++ b/tests/platform_standin/server_standin.h
@@ -1,5 +1,5 @@
-/// @file Stand-ins of the users' platform's servers, by their published protocol: application
-/// servers and model servers, with incarnations, refusals, broken streams, late orders.
+/// @file Stand-ins for the application servers and model servers of the users' platform. They speak
+/// the published protocol and simulate restarts, refusals, broken streams and lost orders.
 #pragma once
 
 #include <cstdint>
@@ -26,9 +26,9 @@
   std::string tenant;
   std::string authorization;
   time_point at{};
-  /// It was run, not refused.
+  /// The server ran the request rather than refusing it.
   bool ran = false;
-  /// The server ended because of it.
+  /// The request crashed the server.
   bool crashed = false;
 };
 
@@ -41,29 +41,30 @@
 };
 
 struct server_faults {
-  /// Refuse everything as full.
+  /// Refuses every request as full.
   bool full = false;
-  /// Never answer.
+  /// Answers no request.
   bool silent = false;
-  /// So many answers of 500.
+  /// Number of requests to answer with 500.
   std::uint32_t failures = 0;
-  /// Streams break off after so many events; 0: they do not.
+  /// Number of events after which a stream of `breaks` is cut.
   std::uint32_t break_after = 0;
-  /// So many streams break off.
+  /// Number of streams to cut.
   std::uint32_t breaks = 0;
-  /// So many orders get no answer; they are carried out.
+  /// Number of orders that are carried out but not answered.
   std::uint32_t lost_orders = 0;
-  /// So many requests are run and their answers broken off.
+  /// Number of requests that are run and whose answers are cut off.
   std::uint32_t cuts = 0;
-  /// So many answers are followed by another one.
+  /// Number of answers that are followed by a second, surplus answer.
   std::uint32_t surplus = 0;
-  /// Requests whose bodies hold this text end the server that begins to run them; empty: none do.
+  /// Requests whose body contains this text crash the server that starts to run them; empty for
+  /// none.
   std::string crash_text;
-  /// From the beginning of such a run to the server's end.
+  /// Time from the start of such a run to the crash.
   milliseconds crash_after{20};
-  /// From the server's end to its next life.
+  /// Time from a crash to the restart.
   milliseconds down_time{300};
-  /// How long an application server works on a request.
+  /// Time an application server takes to process a request.
   milliseconds work_time{0};
 };
 
@@ -78,7 +79,7 @@
   std::uint32_t events = 5;
   milliseconds event_gap{5};
   milliseconds load_time{40};
-  /// A new life after a crash has the identifier of the one before.
+  /// A restart after a crash keeps the identifier of the previous incarnation.
   bool keeps_id = false;
 };
 
@@ -86,14 +87,14 @@
  public:
   server_standin(asio::io_context& context, server_options options);
 
-  /// Its record in the store.
+  /// Returns the server's record for the store.
   std::string record(std::string const& state) const;
-  /// A new life at the same address: it knows nothing of the one before but its weights.
+  /// Begins a new incarnation at the same address that keeps only the weights of the previous one.
   void restart(std::string const& id);
-  /// Ends like a process that is killed. A new life begins at the same address after
-  /// `down_time`.
+  /// Stops abruptly, like a killed process, and restarts at the same address after `down_time`.
   void crash();
-  /// Runs when a new life has begun after a crash, with the identifier of the former one.
+  /// Sets a listener that is called after a restart with the identifier of the previous
+  /// incarnation.
   void on_restart(std::function<void(std::string const&)> listener) {
     on_restart_ = std::move(listener);
   }
@@ -106,18 +107,18 @@
   std::vector<arrival> const& arrivals() const { return arrivals_; }
   std::vector<order_arrival> const& orders() const { return orders_; }
   std::uint64_t version() const { return version_; }
-  /// Orders that were refused since they expected another count.
+  /// Number of orders with an `expected` sequence number that did not match the server's.
   std::uint32_t conflicting_orders() const { return conflicting_orders_; }
   void set_keeps_id(bool keeps) { options_.keeps_id = keeps; }
-  /// When this life began, Unix milliseconds.
+  /// Start time of this incarnation in Unix milliseconds.
   std::uint64_t born() const { return born_; }
-  /// Runs whose connection was closed before they ended.
+  /// Number of runs whose connection was closed before they ended.
   std::uint32_t abandoned() const { return abandoned_; }
   void on_version(std::function<void()> listener) { on_version_ = std::move(listener); }
 
  private:
   awaitable<http::response> handle(http::request message);
-  /// Runs a request and breaks its answer off.
+  /// Runs a request and cuts off its answer.
   awaitable<void> cut_answer(http::request const& message, http::stream_writer& writer);
   awaitable<bool> stream(http::request const& message, http::stream_writer& writer);
   awaitable<bool> write_events(http::stream_writer& writer, std::string request,
@@ -125,7 +126,7 @@
   order_arrival note_order(std::string const& body);
   awaitable<http::response> order(std::string body);
   awaitable<void> load(std::uint64_t version);
-  /// Whether a request that is run here ends the server.
+  /// Returns true if running the request crashes the server.
   bool is_poison(http::request const& message) const;
   awaitable<void> crash_under(http::request const& message);
   awaitable<void> start_next_incarnation(milliseconds pause);
--- a/tests/platform_standin/soak_checker.cc
+++ b/tests/platform_standin/soak_checker.cc
@@ -8,7 +8,7 @@
 namespace frostline::testing {
 namespace {
 
-/// Time after an acknowledged end in which its items may still reach a server.
+/// Time after the acknowledged end of a job in which its items may still reach a server.
 constexpr milliseconds k_cancel_time{3000};
 
 using violation_list = std::vector<violation>;
@@ -34,7 +34,7 @@
     if (!call.repeatable && refused && ran > 0) {
       violations.push_back({"refused is not run", call.request});
     }
-    // None of these calls ends a server.
+    // None of these calls crashes a server, so none may be quarantined.
     if (call.body.find("\"quarantined\"") != std::string::npos) {
       violations.push_back({"no call refused for another's crashes", call.request});
     }
@@ -144,7 +144,7 @@
   }
 }
 
-/// What each arrival's tenant must be, by request.
+/// Returns the expected tenant by request.
 std::map<std::string, std::string> expected_tenants(soak_records const& seen) {
   std::map<std::string, std::string> tenants;
   for (call_record const& call : seen.calls) tenants[call.request] = call.tenant;
--- a/tests/platform_standin/soak_checker.h
+++ b/tests/platform_standin/soak_checker.h
@@ -1,4 +1,5 @@
-/// @file The promises of the gateway, judged by what callers, trainers and servers saw. Pure.
+/// @file Checks the gateway's guarantees against what callers, trainers and servers observed. Does
+/// no I/O.
 #pragma once
 
 #include <boost/json.hpp>
@@ -11,14 +12,14 @@
 
 namespace frostline::testing {
 
-/// What a caller got for one request.
+/// The outcome of one request as seen by its caller.
 struct call_record {
   std::string request;
-  /// 0: no answer.
+  /// HTTP status; 0 without an answer.
   unsigned status = 0;
   std::string body;
   bool repeatable = true;
-  /// Tenant whose key it carried; empty: a key that nobody holds.
+  /// Tenant of the request's API key; empty for an unknown key.
   std::string tenant;
 };
 
@@ -38,46 +39,46 @@
   time_point ended_at{};
 };
 
-/// Everything that was seen in one soak.
+/// All observations of one soak run.
 struct soak_records {
   std::vector<call_record> calls;
   std::vector<read_record> reads;
   std::vector<job_record> jobs;
-  /// By server.
+  /// Arrivals, and below orders, by server.
   std::map<std::string, std::vector<arrival>> arrivals;
   std::map<std::string, std::vector<order_arrival>> orders;
   std::uint32_t events = 0;
   std::uint64_t newest_version = 1;
   milliseconds order_gap{0};
-  /// Requests of tenants that are not among the calls.
+  /// Number of requests by tenant that are not included in `calls`.
   std::map<std::string, std::uint64_t> other_requests;
-  /// Tenant that handed the jobs in; empty: there are no tenants.
+  /// Tenant that submitted the jobs; empty if there are no tenants.
   std::string job_tenant;
-  /// What the service for duties holds against its callers.
+  /// Violations found by the duty stand-in.
   std::vector<std::string> duty_violations;
-  /// Reports that were taken.
+  /// Number of accepted usage reports.
   std::size_t reports = 0;
-  /// Requests that were reported, by tenant.
+  /// Number of reported requests by tenant.
   std::map<std::string, std::uint64_t> reported;
 };
 
-/// A invariant that was broken, and by what.
+/// A violated invariant and the request, job or server that violated it.
 struct violation {
   std::string invariant;
   std::string detail;
 };
 
-/// What was judged, so that a soak that saw nothing is not taken for a good one.
+/// Numbers of checked observations, so that a soak run without any is not mistaken for a pass.
 struct soak_counts {
   std::size_t requests = 0;
   std::size_t samples = 0;
   std::size_t positions = 0;
   std::size_t orders = 0;
-  /// Requests at servers whose tenant was judged.
+  /// Requests at servers whose tenant was checked.
   std::size_t tenants = 0;
 };
 
-/// @param counts what was judged. @return every broken invariant.
+/// @param counts receives the numbers of checked observations. @return all violations.
 std::vector<violation> check_soak(soak_records const& seen, soak_counts& counts);
 
 }  // namespace frostline::testing
--- a/tests/platform_standin/store_standin.cc
+++ b/tests/platform_standin/store_standin.cc
@@ -119,7 +119,7 @@
 awaitable<void> store_standin::expire_loop() {
   while (true) {
     co_await wait_for(k_expiry_tick);
-    // While the store is down, leases wait.
+    // Leases don't expire while the store is down.
     if (faults_.silent || faults_.busy) continue;
     std::vector<std::uint64_t> over;
     for (auto const& [id, held] : leases_) {
@@ -164,7 +164,7 @@
   bool more = false;
   for (auto const& [key, stored] : items_) {
     if (!key.starts_with(prefix) || key <= after) continue;
-    // Small pages, so that tests meet several.
+    // Small pages, so that tests read more than one.
     more = items.size() == 50;
     if (more) break;
     items.push_back(write_item(key, stored));
@@ -256,7 +256,8 @@
   }
   for (json::value const& operation : body->at("put").as_array()) {
     auto const value = base64_decode(json_text(operation.as_object(), "value"));
-    put(json_text(operation.as_object(), "key"), value.value_or(""), field(operation.as_object(), "lease"));
+    put(json_text(operation.as_object(), "key"), value.value_or(""),
+        field(operation.as_object(), "lease"));
   }
   for (json::value const& key : body->at("remove").as_array()) {
     remove(std::string(key.as_string()));
--- a/tests/platform_standin/store_standin.h
+++ b/tests/platform_standin/store_standin.h
@@ -1,6 +1,6 @@
-/// @file Stand-in of the users' platform's metadata store, by its published protocol: items,
-/// ranges, watches, transactions, leases; with outages, slowness, lost and late answers,
-/// compaction.
+/// @file Stand-in for the metadata store of the users' platform. It speaks the published protocol
+/// (items, ranges, watches, transactions, leases) and simulates outages, delays, lost answers, late
+/// commits and compaction.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 namespace frostline::testing {
 
-/// What goes wrong at the store; read on its own thread only.
+/// Injected faults. Access only on the stand-ins' thread.
 struct store_faults {
-  /// Requests get no answer and do nothing.
+  /// Requests get no answer and have no effect.
   bool silent = false;
-  /// Requests get 503 and do nothing.
+  /// Requests are answered 503 and have no effect.
   bool busy = false;
   milliseconds delay{0};
-  /// So many transactions are carried out and never answered.
+  /// Number of transactions that are committed but never answered.
   std::uint32_t lost_transactions = 0;
-  /// So many transactions get no answer and are carried out this much later.
+  /// Number of transactions that get no answer and are committed after `commit_delay`.
   std::uint32_t late_transactions = 0;
   milliseconds commit_delay{0};
 };
@@ -40,24 +40,24 @@
     std::uint64_t lease = 0;
   };
 
-  /// What the platform itself writes, such as operators' records.
+  /// Writes an item on behalf of the platform, such as an operator's record.
   void put(std::string const& key, std::string const& value, std::uint64_t lease = 0);
   void remove(std::string const& key);
-  /// Drops the history: watches from before get 410, those that wait are cut.
+  /// Drops the history: waiting watches and watches from an earlier revision are answered 410.
   void compact();
-  /// Watches that wait now are never answered; their connections stay open, and everything that is
-  /// asked from now on is answered. @return how many watches.
+  /// Never answers the watches that are waiting now, but keeps their connections open; later
+  /// requests are answered. @return number of stalled watches.
   std::size_t stall_watches();
-  /// Watches of exactly this prefix that wait now.
+  /// Returns the number of waiting watches of exactly this prefix.
   std::size_t waiting_watches(std::string const& prefix) { return waiting_watches_[prefix]; }
-  /// Ends a lease and its items, as if it had run out.
+  /// Expires all leases and removes their items.
   void expire_leases();
 
   std::map<std::string, item> const& items() const { return items_; }
   store_faults& faults() { return faults_; }
   std::uint64_t transactions() const { return transactions_; }
   std::uint64_t revision() const { return revision_; }
-  /// Watches of a prefix that were answered with changes.
+  /// Returns the number of watches of a prefix that were answered with changes.
   std::uint64_t answered_watches(std::string const& prefix) { return answered_watches_[prefix]; }
 
  private:
@@ -96,7 +96,7 @@
   std::uint64_t next_lease_ = 1;
   std::uint64_t cuts_ = 0;
   std::map<std::string, std::size_t> waiting_watches_;
-  /// Watches of an older generation are never answered.
+  /// Watches of an earlier generation are never answered.
   std::uint64_t watch_generation_ = 0;
   std::uint64_t transactions_ = 0;
   std::map<std::string, std::uint64_t> answered_watches_;
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -281,7 +281,7 @@
                          milliseconds timeout) {
   time_point const deadline = boot_clock::now() + timeout;
   while (!condition()) {
-    if (boot_clock::now() >= deadline) throw std::runtime_error("waited in vain until " + what);
+    if (boot_clock::now() >= deadline) throw std::runtime_error("timed out waiting until " + what);
     std::this_thread::sleep_for(k_poll);
   }
 }
--- a/tests/support/memory_record_store.h
+++ b/tests/support/memory_record_store.h
@@ -44,7 +44,7 @@
   void expire_leases();
   /// Sets the maximum number of records in one answer.
   void set_page(std::size_t records) { page_ = records; }
-  /// Drops the history: watches from an earlier revision fail as compacted.
+  /// Drops the history: watches from an earlier revision return `compacted`.
   void compact();
   /// While set, all calls fail as unavailable.
   void set_down(bool down) { down_ = down; }
