--- a/tests/platform/calls_test.cc
+++ b/tests/platform/calls_test.cc
@@ -79,7 +79,7 @@
   LONGS_EQUAL(504, answer.value().result_int());
 }
 
-TEST(calls_test, refusal_by_all_servers_is_passed_on_at_once_with_when_to_come_back) {
+TEST(calls_test, refusal_by_all_servers_is_forwarded_immediately_with_retry_after) {
   set_faults([](server_faults& faults) { faults.full = true; });
   time_point const begin = boot_clock::now();
   auto const answer = system.call(0, http::verb::post, "/once/x", "once-3", "b");
@@ -125,7 +125,7 @@
   });
 }
 
-TEST(calls_test, draining_server_gets_nothing_new_and_a_reused_address_no_request_of_its_former) {
+TEST(calls_test, draining_server_and_reused_address_get_no_new_requests) {
   system.on_platform([&] {
     system.announce(system.app(0), "draining");
     return 0;
--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -85,7 +85,7 @@
   }
 
   /// @return the status; 0 without an answer.
-  unsigned try_deadly(std::string const& path) {
+  unsigned try_poison_request(std::string const& path) {
     std::size_t const number = next_try++;
     auto const answer =
         system.call(number % system.nodes(), http::verb::post, path,
@@ -106,22 +106,22 @@
   /// Tries the poison request at all nodes in turn until the bound holds, and some times after.
   void keep_trying(std::string const& path) {
     platform_cluster::wait_until("three servers have ended long enough ago", [&] {
-      try_deadly(path);
+      try_poison_request(path);
       return is_bound_in_force();
     });
     for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       wait_for_service(path);
-      try_deadly(path);
+      try_poison_request(path);
     }
   }
 };
 
-TEST(crashing_request_test, safe_request_reaches_servers_no_more_after_three_have_ended) {
+TEST(crashing_request_test, safe_request_is_quarantined_after_three_crashes) {
   keep_trying("/calls/x");
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, one_try_ends_no_more_servers_than_it_has_attempts) {
+TEST(crashing_request_test, one_call_crashes_no_more_servers_than_it_has_attempts) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().work_time = milliseconds(60);
@@ -147,21 +147,21 @@
       return true;
     });
   });
-  LONGS_EQUAL(502, try_deadly("/calls/x"));
+  LONGS_EQUAL(502, try_poison_request("/calls/x"));
   LONGS_EQUAL(3, poison_arrivals(system).size());
 }
 
-TEST(crashing_request_test, unsafe_request_reaches_servers_no_more_after_three_have_ended) {
+TEST(crashing_request_test, unsafe_request_is_quarantined_after_three_crashes) {
   keep_trying("/once/x");
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, stream_reaches_servers_no_more_after_three_have_ended) {
+TEST(crashing_request_test, stream_is_quarantined_after_three_crashes) {
   keep_trying("/stream/x");
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, sample_reaches_engines_no_more_and_the_others_are_finished) {
+TEST(crashing_request_test, sample_is_quarantined_and_the_others_finish) {
   auto items = make_items("job", 12);
   items[3].prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
@@ -176,7 +176,7 @@
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, samples_that_ran_beside_it_are_not_held_back) {
+TEST(crashing_request_test, concurrent_samples_are_not_quarantined) {
   // All engines are full, so that it takes seven others along each time.
   auto items = make_items("job", 32);
   items[3].prompt = k_poison_text;
@@ -187,7 +187,7 @@
   LONGS_EQUAL(1, quarantine_records());
 }
 
-TEST(crashing_request_test, scorers_call_reaches_servers_no_more_and_the_others_are_scored) {
+TEST(crashing_request_test, scorer_call_is_quarantined_and_the_others_are_scored) {
   auto items = make_items("job", 12);
   items[3].scorer_body = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
@@ -203,7 +203,7 @@
   LONGS_EQUAL(1, quarantine_records());
 }
 
-TEST(crashing_request_test, refusal_is_the_same_at_each_node_at_once_and_invites_no_retry) {
+TEST(crashing_request_test, every_node_refuses_immediately_with_a_long_retry_after) {
   keep_trying("/calls/x");
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     time_point const begin = boot_clock::now();
@@ -217,7 +217,7 @@
   for (arrival const& one : app_arrivals()) CHECK(!one.request.starts_with("refused-"));
 }
 
-TEST(crashing_request_test, quarantine_outlasts_the_end_of_every_node) {
+TEST(crashing_request_test, quarantine_survives_a_restart_of_all_nodes) {
   keep_trying("/calls/x");
   std::size_t const before = poison_arrivals(system).size();
   for (std::size_t node = 0; node < system.nodes(); ++node) system.node(node).kill();
@@ -236,19 +236,19 @@
   std::size_t const after = poison_arrivals(system).size();
   for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service("/calls/x");
-    try_deadly("/calls/x");
+    try_poison_request("/calls/x");
   }
   CHECK(poison_arrivals(system).size() <= after + 1);
 }
 
-TEST(crashing_request_test, request_is_served_again_once_the_servers_bear_it) {
+TEST(crashing_request_test, request_is_served_again_once_it_crashes_no_server) {
   platform_cluster::wait_until("three servers have ended and there is a record", [&] {
-    if (poison_arrivals(system).size() < k_crashes_allowed) try_deadly("/calls/x");
+    if (poison_arrivals(system).size() < k_crashes_allowed) try_poison_request("/calls/x");
     return quarantine_records() == 1;
   });
   system.set_crash_text("");
   platform_cluster::wait_until("a trial was answered and the record is gone",
-                               [&] { return try_deadly("/calls/x") == 200; });
+                               [&] { return try_poison_request("/calls/x") == 200; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     platform_cluster::wait_until("every node serves it", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_poison_text);
@@ -276,13 +276,13 @@
   }
 }
 
-TEST(crashing_request_test, bound_holds_after_the_store_was_away) {
+TEST(crashing_request_test, quarantine_takes_effect_after_a_store_outage) {
   system.on_platform([&] {
     system.store().faults().silent = true;
     return 0;
   });
   platform_cluster::wait_until("three servers have ended", [&] {
-    try_deadly("/calls/x");
+    try_poison_request("/calls/x");
     return poison_arrivals(system).size() >= k_crashes_allowed;
   });
   system.on_platform([&] {
@@ -291,18 +291,18 @@
   });
   time_point const back = boot_clock::now();
   platform_cluster::wait_until("the bound holds", [&] {
-    try_deadly("/calls/x");
+    try_poison_request("/calls/x");
     return boot_clock::now() > back + k_propagation_time;
   });
   std::size_t const before = poison_arrivals(system).size();
   for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service("/calls/x");
-    try_deadly("/calls/x");
+    try_poison_request("/calls/x");
   }
   CHECK(poison_arrivals(system).size() <= before + k_retries_allowed);
 }
 
-TEST(crashing_request_test, wide_crash_under_a_popular_request_refuses_nothing) {
+TEST(crashing_request_test, mass_crash_during_a_popular_request_refuses_nothing) {
   platform_options options = with_many_servers();
   options.nodes = 6;
   platform_cluster wide{options};
@@ -363,7 +363,7 @@
   CHECK(suspected);
 }
 
-TEST(crashing_request_test, requests_that_stand_beside_it_are_served_soon_after) {
+TEST(crashing_request_test, concurrent_requests_are_served_soon_after) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().work_time = milliseconds(60);
@@ -410,7 +410,7 @@
   LONGS_EQUAL(1, quarantine_records());
 }
 
-TEST(crashing_request_test, connections_that_are_cut_are_no_crashes) {
+TEST(crashing_request_test, cut_connections_do_not_count_as_crashes) {
   system.set_crash_text("");
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
@@ -418,7 +418,7 @@
     }
     return 0;
   });
-  for (int number = 0; number < 8; ++number) try_deadly("/calls/x");
+  for (int number = 0; number < 8; ++number) try_poison_request("/calls/x");
   platform_cluster::wait_until("the servers were looked at", [&] {
     return system.log(0).find("\"condition\":\"lives\"") != std::string::npos;
   });
@@ -433,7 +433,7 @@
   }
 }
 
-TEST(crashing_request_test, request_is_answered_at_once_when_no_server_is_left) {
+TEST(crashing_request_test, request_is_answered_immediately_when_no_server_is_left) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().down_time = seconds(5);
@@ -443,6 +443,6 @@
     return 0;
   });
   time_point const begin = boot_clock::now();
-  LONGS_EQUAL(502, try_deadly("/calls/x"));
+  LONGS_EQUAL(502, try_poison_request("/calls/x"));
   CHECK(boot_clock::now() - begin < k_read_timeout / 2);
 }
--- a/tests/platform/cut_runs_test.cc
+++ b/tests/platform/cut_runs_test.cc
@@ -51,7 +51,7 @@
   std::size_t next_other = 0;
   milliseconds crash_after{0};
 
-  void end_servers_after(milliseconds pause) {
+  void crash_servers_after(milliseconds pause) {
     crash_after = pause;
     system.set_crash_text(k_poison_text);
     system.on_platform([&] {
@@ -115,7 +115,7 @@
   }
 
   /// A caller says that it waits no longer than that.
-  void call_in_a_hurry(std::string const& path) {
+  void call_with_short_deadline(std::string const& path) {
     std::size_t const number = next_try++;
     // What it is answered is judged by what reaches the servers.
     static_cast<void>(system.call(number % system.nodes(), http::verb::post, path,
@@ -136,32 +136,32 @@
   }
 };
 
-TEST(cut_runs_test, safe_call_whose_callers_leave_reaches_servers_no_more) {
-  end_servers_after(k_slow_crash);
+TEST(cut_runs_test, safe_call_is_quarantined_although_callers_disconnect) {
+  crash_servers_after(k_slow_crash);
   keep_trying("/calls/x", [&] { call_and_disconnect("/calls/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(cut_runs_test, unsafe_call_whose_callers_leave_reaches_servers_no_more) {
-  end_servers_after(k_slow_crash);
+TEST(cut_runs_test, unsafe_call_is_quarantined_although_callers_disconnect) {
+  crash_servers_after(k_slow_crash);
   keep_trying("/once/x", [&] { call_and_disconnect("/once/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(cut_runs_test, stream_whose_readers_leave_reaches_servers_no_more) {
-  end_servers_after(k_slow_crash);
+TEST(cut_runs_test, stream_is_quarantined_although_readers_disconnect) {
+  crash_servers_after(k_slow_crash);
   keep_trying("/stream/x", [&] { call_and_disconnect("/stream/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(cut_runs_test, call_whose_deadlines_pass_first_reaches_servers_no_more) {
-  end_servers_after(k_slow_crash);
-  keep_trying("/once/x", [&] { call_in_a_hurry("/once/x"); });
+TEST(cut_runs_test, call_is_quarantined_although_deadlines_pass_first) {
+  crash_servers_after(k_slow_crash);
+  keep_trying("/once/x", [&] { call_with_short_deadline("/once/x"); });
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(cut_runs_test, scorers_call_whose_attempts_are_given_up_reaches_servers_no_more) {
-  end_servers_after(k_crash_after_attempt);
+TEST(cut_runs_test, scorer_call_with_abandoned_attempts_is_quarantined) {
+  crash_servers_after(k_crash_after_attempt);
   test_item item{"scored", "group"};
   item.scorer_path = "/open/score";
   item.scorer_body = k_poison_text;
@@ -173,8 +173,8 @@
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(cut_runs_test, sample_whose_runs_are_given_up_reaches_engines_no_more) {
-  end_servers_after(k_crash_after_run);
+TEST(cut_runs_test, sample_with_abandoned_runs_is_quarantined) {
+  crash_servers_after(k_crash_after_run);
   test_item item{"sampled", "group"};
   item.prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", {item}));
@@ -188,7 +188,7 @@
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(cut_runs_test, call_whose_callers_leave_servers_that_live_is_not_refused) {
+TEST(cut_runs_test, call_that_crashes_no_server_is_not_refused_after_disconnects) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().work_time = 2 * k_short_read_timeout;
@@ -206,7 +206,7 @@
   LONGS_EQUAL(0, count_records(system, k_quarantine_records));
 }
 
-TEST(cut_runs_test, sample_that_no_engine_could_take_is_not_held_against) {
+TEST(cut_runs_test, sample_without_a_reachable_engine_is_not_suspected) {
   // Its runs find nobody at the engines' addresses: they have ended before it came.
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.engines(); ++index) {
--- a/tests/platform/early_record_test.cc
+++ b/tests/platform/early_record_test.cc
@@ -12,9 +12,9 @@
 
 constexpr char k_text[] = "popular";
 constexpr milliseconds k_read_timeout{1500};
-constexpr milliseconds k_long_down{60'000};
+constexpr milliseconds k_long_down_time{60'000};
 /// A record of three crashes would be in force everywhere by then, and no trial be due.
-constexpr milliseconds k_in_force{1100};
+constexpr milliseconds k_record_effect_time{1100};
 
 platform_options with_four_servers() {
   platform_options options;
@@ -29,10 +29,10 @@
   platform_cluster system{with_four_servers()};
 
   /// Two servers end under the request, and none is left for its third run.
-  void end_two_servers() {
+  void crash_two_servers() {
     system.on_platform([&] {
       for (std::size_t index : {0u, 1u}) {
-        system.app(index).faults().down_time = k_long_down;
+        system.app(index).faults().down_time = k_long_down_time;
         system.app(index).crash();
       }
       return 0;
@@ -48,9 +48,9 @@
   }
 };
 
-TEST(early_record_test, request_under_which_two_servers_ended_is_served_at_every_node) {
-  end_two_servers();
-  time_point const in_force = boot_clock::now() + k_in_force;
+TEST(early_record_test, request_with_two_crashes_is_served_at_every_node) {
+  crash_two_servers();
+  time_point const in_force = boot_clock::now() + k_record_effect_time;
   platform_cluster::wait_until("a record of three crashes would be in force",
                                [&] { return boot_clock::now() > in_force; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
@@ -61,8 +61,8 @@
   }
 }
 
-TEST(early_record_test, record_of_two_crashes_goes_when_its_third_run_has_ended_no_server) {
-  end_two_servers();
+TEST(early_record_test, record_of_two_crashes_is_removed_after_a_third_run_without_a_crash) {
+  crash_two_servers();
   CHECK(system.log(0).find("Suspicion of a request recorded.") != std::string::npos);
   platform_cluster::wait_until("the record is gone",
                                [&] { return count_records(system, k_quarantine_records) == 0; });
--- a/tests/platform/frozen_owner_test.cc
+++ b/tests/platform/frozen_owner_test.cc
@@ -42,7 +42,7 @@
   }
 
   /// Returns when the thawed node has heard of its successor, and has served since.
-  void thaw(std::size_t frozen) {
+  void resume_owner(std::size_t frozen) {
     system.node(frozen).send_signal(SIGCONT);
     platform_cluster::wait_until("the owner knows that it is none any more", [&] {
       return system.log(frozen).find("Ownership lost") != std::string::npos;
@@ -52,7 +52,7 @@
   }
 };
 
-TEST(frozen_owner_test, job_that_was_ended_meanwhile_sends_no_sample_after_the_thaw) {
+TEST(frozen_owner_test, job_ended_during_the_freeze_sends_no_sample_afterwards) {
   set_engines_full(system, true);
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", k_items)));
   platform_cluster::wait_until("engines have refused runs",
@@ -60,11 +60,11 @@
   std::size_t const frozen = freeze_until_job_is_over();
   std::size_t const before = count_arrivals(system, "job-");
   set_engines_full(system, false);
-  thaw(frozen);
+  resume_owner(frozen);
   LONGS_EQUAL(before, count_arrivals(system, "job-"));
 }
 
-TEST(frozen_owner_test, job_that_was_ended_meanwhile_asks_no_scorer_after_the_thaw) {
+TEST(frozen_owner_test, job_ended_during_the_freeze_calls_no_scorer_afterwards) {
   set_apps_full(system, true);
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", k_items)));
   platform_cluster::wait_until("scorers have refused calls",
@@ -72,6 +72,6 @@
   std::size_t const frozen = freeze_until_job_is_over();
   std::size_t const before = count_arrivals(system, "score-job-");
   set_apps_full(system, false);
-  thaw(frozen);
+  resume_owner(frozen);
   LONGS_EQUAL(before, count_arrivals(system, "score-job-"));
 }
--- a/tests/platform/jobs_test.cc
+++ b/tests/platform/jobs_test.cc
@@ -78,7 +78,7 @@
   check_whole(system.wait_for_results(2, "job", 12), 12);
 }
 
-TEST(jobs_test, job_that_comes_at_two_nodes_is_taken_once) {
+TEST(jobs_test, job_submitted_at_two_nodes_is_accepted_once) {
   platform_cluster system{platform_options()};
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 4)));
   LONGS_EQUAL(202, system.submit(1, "job", make_items("job", 4)));
@@ -121,7 +121,7 @@
   LONGS_EQUAL(3, engine_arrivals(system).size());
 }
 
-TEST(jobs_test, body_of_an_item_comes_back_until_the_job_is_ended) {
+TEST(jobs_test, body_of_an_item_is_readable_until_the_job_is_ended) {
   platform_cluster system{with_slow_runs()};
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 2)));
   auto const body = system.item_body(1, "job", "job-1");
@@ -133,7 +133,7 @@
   LONGS_EQUAL(404, gone.value().result_int());
 }
 
-TEST(jobs_test, unknown_job_is_told_so_and_malformed_one_is_refused) {
+TEST(jobs_test, unknown_job_is_not_found_and_malformed_job_is_refused) {
   platform_cluster system{platform_options()};
   system.owner();
   LONGS_EQUAL(404, system.end_job(0, "nothing"));
@@ -171,7 +171,7 @@
   LONGS_EQUAL(0, of_ended);
 }
 
-TEST(jobs_test, killed_owner_is_followed_and_positions_stay) {
+TEST(jobs_test, killed_owner_is_replaced_and_positions_stay) {
   platform_cluster system{with_slow_runs()};
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 24)));
   system.wait_for_results(0, "job", 4);
@@ -188,7 +188,7 @@
   }
 }
 
-TEST(jobs_test, restarted_owner_goes_on_without_waiting_for_its_own_former_lease) {
+TEST(jobs_test, restarted_owner_does_not_wait_for_its_previous_lease) {
   platform_cluster system{platform_options()};
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 4)));
   std::size_t const owner = system.owner();
@@ -334,7 +334,7 @@
   check_whole(system.wait_for_results(2, "late", 4), 4);
 }
 
-TEST(jobs_test, lapsed_lease_costs_no_result) {
+TEST(jobs_test, expired_lease_loses_no_result) {
   platform_cluster system{with_slow_runs()};
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 16)));
   system.wait_for_results(0, "job", 1);
@@ -355,7 +355,7 @@
   LONGS_EQUAL(0, system.node(owner).wait(15));
 }
 
-TEST(jobs_test, machine_that_is_to_be_emptied_is_reported_empty) {
+TEST(jobs_test, evacuated_machine_is_reported_empty) {
   platform_cluster system{platform_options()};
   system.owner();
   system.request_evacuation("storage-1");
--- a/tests/platform/lost_crash_records_test.cc
+++ b/tests/platform/lost_crash_records_test.cc
@@ -80,7 +80,7 @@
     for (std::size_t node = 0; node < system.nodes(); ++node) wait_for_service(node);
   }
 
-  void wait_for_the_bound(time_point third) {
+  void wait_for_propagation(time_point third) {
     platform_cluster::wait_until("the bound holds",
                                  [&] { return boot_clock::now() > third + k_propagation_time; });
   }
@@ -106,7 +106,7 @@
 
   /// Hands a job in whose sample, or whose scorer's call, ends servers; all nodes end with the
   /// third of them.
-  void end_nodes_with_the_third_crash_of(test_item const& poison) {
+  void kill_nodes_at_third_crash(test_item const& poison) {
     LONGS_EQUAL(202, system.submit(0, "job", {poison}));
     platform_cluster::wait_until("three servers have ended",
                                  [&] { return crashes() >= k_crashes_allowed; });
@@ -114,7 +114,7 @@
     restart_all_nodes();
     test_item const harmless{"harmless", "group"};
     LONGS_EQUAL(202, system.submit(0, "again", {poison, harmless}));
-    wait_for_the_bound(third);
+    wait_for_propagation(third);
     platform_cluster::wait_until("samples run", [&] { return is_completed("again", "harmless"); });
     time_point const observed = boot_clock::now() + k_propagation_time;
     platform_cluster::wait_until("more runs would have begun",
@@ -131,7 +131,7 @@
   time_point const third = boot_clock::now();
   LONGS_EQUAL(k_crashes_allowed, crashes());
   restart_all_nodes();
-  wait_for_the_bound(third);
+  wait_for_propagation(third);
   for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service(number % system.nodes());
     call_poison(number);
@@ -142,7 +142,7 @@
 TEST(lost_crash_records_test, bound_holds_for_a_sample) {
   test_item poison{"deadly", "group"};
   poison.prompt = k_poison_text;
-  end_nodes_with_the_third_crash_of(poison);
+  kill_nodes_at_third_crash(poison);
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
 
@@ -150,6 +150,6 @@
   test_item poison{"deadly", "group"};
   poison.scorer_path = "/open/score";
   poison.scorer_body = k_poison_text;
-  end_nodes_with_the_third_crash_of(poison);
+  kill_nodes_at_third_crash(poison);
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
--- a/tests/platform/orders_test.cc
+++ b/tests/platform/orders_test.cc
@@ -23,7 +23,7 @@
     });
   }
 
-  void name(std::uint64_t version) {
+  void publish_version(std::uint64_t version) {
     system.on_platform([&] {
       system.name_version(version);
       return 0;
@@ -42,10 +42,10 @@
 };
 
 TEST(orders_test, engines_take_turns_so_that_each_version_finds_some_of_them) {
-  name(2);
+  publish_version(2);
   platform_cluster::wait_until("one engine has version 2",
                                [&] { return engines_at_least(2) == 1; });
-  name(3);
+  publish_version(3);
   platform_cluster::wait_until("both engines serve version 3's jobs",
                                [&] { return engines_at_least(2) == 2; });
   for (order_arrival const& one : orders()) CHECK(one.version >= 2);
@@ -57,18 +57,18 @@
     system.engine(1).faults().lost_orders = 1;
     return 0;
   });
-  name(2);
-  name(3);
+  publish_version(2);
+  publish_version(3);
   platform_cluster::wait_until("both engines serve version 3's jobs",
                                [&] { return engines_at_least(2) == 2; });
 }
 
 TEST(orders_test, orders_of_two_owners_keep_their_distance_and_fences_rise) {
-  name(2);
+  publish_version(2);
   platform_cluster::wait_until("one engine has version 2",
                                [&] { return engines_at_least(2) == 1; });
   system.node(system.owner()).kill();
-  name(3);
+  publish_version(3);
   platform_cluster::wait_until("both engines serve version 3's jobs",
                                [&] { return engines_at_least(2) == 2; });
   auto all = orders();
--- a/tests/platform/progress_copies_test.cc
+++ b/tests/platform/progress_copies_test.cc
@@ -12,7 +12,7 @@
 
 constexpr std::size_t k_items = 24;
 /// Reports of progress are 0.25 s apart.
-constexpr milliseconds k_reported{800};
+constexpr milliseconds k_report_wait{800};
 
 std::vector<test_item> make_items() {
   std::vector<test_item> items;
@@ -51,7 +51,7 @@
                                [&] { return count_runs(system, "score-job-") >= k_items; });
   platform_cluster::wait_until("two nodes hold copies",
                                [&] { return has_two_copies(system, owner); });
-  time_point const reported = boot_clock::now() + k_reported;
+  time_point const reported = boot_clock::now() + k_report_wait;
   platform_cluster::wait_until("progress is reported",
                                [&] { return boot_clock::now() > reported; });
   system.node(owner).send_signal(SIGSTOP);
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -51,7 +51,7 @@
     });
   }
 
-  bool all_say(std::string const& text, std::vector<std::size_t> const& but = {}) {
+  bool all_logs_contain(std::string const& text, std::vector<std::size_t> const& but = {}) {
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       if (std::find(but.begin(), but.end(), node) != but.end()) continue;
       if (system.log(node).find(text) == std::string::npos) return false;
@@ -87,13 +87,13 @@
     system.relay(0);
     system.relay(1);
     system.owner();
-    platform_cluster::wait_until("all nodes serve", [&] { return all_say("gateway: Serving."); });
+    platform_cluster::wait_until("all nodes serve", [&] { return all_logs_contain("gateway: Serving."); });
     platform_cluster::wait_until("no node follows the store that is no relay",
                                  [&] { return !any_follows_directly(); });
     put_config(2);
-    platform_cluster::wait_until("version 2 is in force", [&] { return all_say(in_force(2)); });
+    platform_cluster::wait_until("version 2 is in force", [&] { return all_logs_contain(in_force(2)); });
     drain(0);
-    platform_cluster::wait_until("all know of the drain", [&] { return all_say("Server drains"); });
+    platform_cluster::wait_until("all know of the drain", [&] { return all_logs_contain("Server drains"); });
   }
 };
 
@@ -101,16 +101,16 @@
   settle();
   std::uint64_t const before = answered_watches("op/config");
   put_config(3);
-  platform_cluster::wait_until("version 3 is in force", [&] { return all_say(in_force(3)); });
+  platform_cluster::wait_until("version 3 is in force", [&] { return all_logs_contain(in_force(3)); });
   // The owner hears of it below the operators' prefix.
   LONGS_EQUAL(before + 2, answered_watches("op/config"));
   std::uint64_t const servers_before = answered_watches("servers/");
   withdraw(0);
-  platform_cluster::wait_until("all know that it is gone", [&] { return all_say("Server gone"); });
+  platform_cluster::wait_until("all know that it is gone", [&] { return all_logs_contain("Server gone"); });
   LONGS_EQUAL(servers_before + 1, answered_watches("servers/"));
 }
 
-TEST(relay_test, change_is_in_force_in_time_while_a_relay_stands_still) {
+TEST(relay_test, change_is_in_force_in_time_while_a_relay_is_stopped) {
   settle();
   std::size_t const relay = system.relay(0);
   system.node(relay).send_signal(SIGSTOP);
@@ -118,13 +118,13 @@
   put_config(3);
   withdraw(0);
   platform_cluster::wait_until("the others know", [&] {
-    return all_say(in_force(3), {relay}) && all_say("Server gone", {relay});
+    return all_logs_contain(in_force(3), {relay}) && all_logs_contain("Server gone", {relay});
   });
   CHECK(boot_clock::now() - begin < seconds(2));
   platform_cluster::wait_until("another node relays",
                                [&] { return system.find_relay(0).value_or(relay) != relay; });
   system.node(relay).send_signal(SIGCONT);
-  platform_cluster::wait_until("it knows, too", [&] { return all_say(in_force(3)); });
+  platform_cluster::wait_until("it knows, too", [&] { return all_logs_contain(in_force(3)); });
 }
 
 TEST(relay_test, change_is_in_force_in_time_while_a_relay_is_cut_off_from_the_store) {
@@ -136,11 +136,11 @@
   time_point const begin = boot_clock::now();
   put_config(3);
   platform_cluster::wait_until("all know, the relay among them",
-                               [&] { return all_say(in_force(3)); });
+                               [&] { return all_logs_contain(in_force(3)); });
   CHECK(boot_clock::now() - begin < seconds(2));
 }
 
-TEST(relay_test, killed_relays_are_back_or_replaced) {
+TEST(relay_test, killed_relays_restart_or_are_replaced) {
   settle();
   for (std::uint32_t zone = 0; zone < 2; ++zone) {
     std::size_t const relay = system.relay(zone);
@@ -148,9 +148,9 @@
     system.start_node(relay);
   }
   put_config(3);
-  platform_cluster::wait_until("version 3 is in force", [&] { return all_say(in_force(3)); });
+  platform_cluster::wait_until("version 3 is in force", [&] { return all_logs_contain(in_force(3)); });
   put_config(4);
-  platform_cluster::wait_until("version 4 is in force", [&] { return all_say(in_force(4)); });
+  platform_cluster::wait_until("version 4 is in force", [&] { return all_logs_contain(in_force(4)); });
 }
 
 TEST(relay_test, node_that_starts_while_the_store_is_out_serves_what_was_last_known) {
@@ -189,7 +189,7 @@
     return 0;
   });
   platform_cluster::wait_until("it is waited for", [&] {
-    return all_say("Server's record went with the store; waiting for it.");
+    return all_logs_contain("Server's record went with the store; waiting for it.");
   });
   // App 0 drains since settle, so this call has nowhere else to go.
   auto const answer = system.call(2, http::verb::get, "/calls/one", "call-1");
@@ -200,7 +200,7 @@
     return 0;
   });
   // The engines were not written again, so they are gone.
-  platform_cluster::wait_until("engines are gone", [&] { return all_say("Server gone"); });
+  platform_cluster::wait_until("engines are gone", [&] { return all_logs_contain("Server gone"); });
   std::string const app = "\"Server gone.\",\"server\":\"" + system.app(1).id();
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     CHECK(system.log(node).find(app) == std::string::npos);
--- a/tests/platform/server_records_test.cc
+++ b/tests/platform/server_records_test.cc
@@ -18,14 +18,14 @@
     });
   }
 
-  bool all_say(std::string const& text) {
+  bool all_logs_contain(std::string const& text) {
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       if (system.log(node).find(text) == std::string::npos) return false;
     }
     return true;
   }
 
-  bool anybody_says(std::string const& text) {
+  bool any_log_contains(std::string const& text) {
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       if (system.log(node).find(text) != std::string::npos) return true;
     }
@@ -44,7 +44,7 @@
       return 0;
     });
     platform_cluster::wait_until("the next version is in force",
-                                 [&] { return all_say(in_force(version)); });
+                                 [&] { return all_logs_contain(in_force(version)); });
   }
 
   void call_everywhere(std::string const& name) {
@@ -71,7 +71,7 @@
   }
 };
 
-TEST(server_records_test, orders_to_a_new_life_expect_nothing_of_the_one_before) {
+TEST(server_records_test, orders_to_a_restarted_engine_expect_no_previous_sequence) {
   // Every second version: an engine goes on serving while others load the next one.
   for (std::uint64_t version = 2; version < 4; ++version) {
     system.on_platform([&] {
@@ -102,28 +102,28 @@
   LONGS_EQUAL(0, system.on_platform([&] { return system.engine(0).conflicting_orders(); }));
 }
 
-TEST(server_records_test, all_nodes_tell_the_lives_of_a_server_apart) {
+TEST(server_records_test, all_nodes_distinguish_incarnations_of_a_server) {
   restart_engine();
   platform_cluster::wait_until("all know of the new life",
-                               [&] { return all_say("Server started again."); });
+                               [&] { return all_logs_contain("Server started again."); });
 }
 
-TEST(server_records_test, late_record_of_a_former_life_does_not_bring_it_back) {
+TEST(server_records_test, late_record_of_a_previous_incarnation_is_ignored) {
   std::string const former =
       system.on_platform([&] { return system.engine(0).record("draining"); });
   restart_engine();
   put("servers/" + system.engine(0).id(), former);
   put_config_and_wait(2);
-  CHECK_FALSE(anybody_says("Server drains."));
+  CHECK_FALSE(any_log_contains("Server drains."));
   // The new life's own word holds.
   system.on_platform([&] {
     system.announce(system.engine(0), "draining");
     return 0;
   });
-  platform_cluster::wait_until("all know of the drain", [&] { return all_say("Server drains."); });
+  platform_cluster::wait_until("all know of the drain", [&] { return all_logs_contain("Server drains."); });
 }
 
-TEST(server_records_test, records_of_other_writers_name_no_server) {
+TEST(server_records_test, records_of_other_writers_are_ignored) {
   std::string const address = "\"address\":\"127.0.0.1:9\",\"zone\":\"a\",";
   put("servers/foreign-1", std::string("\xff\x00\x01", 3));
   put("servers/foreign-2", "[]");
@@ -146,28 +146,28 @@
   system.start_node(1);
   platform_cluster::wait_until("the node is ready", [&] { return system.is_ready(1); });
   call_everywhere("again-");
-  CHECK_FALSE(anybody_says("\"server\":\"foreign-"));
+  CHECK_FALSE(any_log_contains("\"server\":\"foreign-"));
 }
 
-TEST(server_records_test, record_that_another_writer_has_spoiled_names_no_server_any_more) {
+TEST(server_records_test, record_overwritten_by_another_writer_removes_the_server) {
   std::string const id = system.app(0).id();
   put("servers/" + id, "spoiled");
   platform_cluster::wait_until("all know", [&] {
-    return all_say("\"message\":\"directory: Server gone.\",\"server\":\"" + id);
+    return all_logs_contain("\"message\":\"directory: Server gone.\",\"server\":\"" + id);
   });
   call_everywhere("call-");
 }
 
-TEST(server_records_test, records_beside_the_configuration_are_not_taken_for_it) {
+TEST(server_records_test, records_next_to_the_configuration_are_ignored) {
   put("op/config-draft", R"({"version":90,"routes":[],"services":[],"limits":{}})");
   put("op/config.old", "not a configuration");
   put_config_and_wait(2);
-  CHECK_FALSE(anybody_says(in_force(90)));
-  CHECK_FALSE(anybody_says("Configuration is malformed"));
+  CHECK_FALSE(any_log_contains(in_force(90)));
+  CHECK_FALSE(any_log_contains("Configuration is malformed"));
   call_everywhere("call-");
 }
 
-TEST(server_records_test, request_that_ends_the_same_servers_again_and_again_is_kept_from_them) {
+TEST(server_records_test, request_that_repeatedly_crashes_the_same_servers_is_quarantined) {
   system.on_platform([&] {
     for (std::size_t app = 0; app < system.apps(); ++app) system.app(app).set_keeps_id(true);
     return 0;
--- a/tests/platform/silent_connections_test.cc
+++ b/tests/platform/silent_connections_test.cc
@@ -29,12 +29,12 @@
 
 /// A machine whose connections were lost without a word counts as in touch that long after, and
 /// what was acknowledged before has to be in force then.
-constexpr seconds k_in_touch{3};
+constexpr seconds k_max_propagation_time{3};
 /// Longest time that a caller waits for an answer to what is served in milliseconds: a dead
 /// connection may cost it one attempt.
-constexpr milliseconds k_late{700};
+constexpr milliseconds k_max_latency{700};
 /// The route's target latency.
-constexpr milliseconds k_objective{150};
+constexpr milliseconds k_target_latency{150};
 
 }  // namespace
 
@@ -49,7 +49,7 @@
     });
   }
 
-  bool all_say(std::string const& text) {
+  bool all_logs_contain(std::string const& text) {
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       if (system.log(node).find(text) == std::string::npos) return false;
     }
@@ -73,7 +73,7 @@
     for (std::uint32_t zone = 0; zone < 3; ++zone) system.relay(zone);
     system.owner();
     on_platform([&] { system.put_config(2); });
-    platform_cluster::wait_until("version 2 is in force", [&] { return all_say(in_force(2)); });
+    platform_cluster::wait_until("version 2 is in force", [&] { return all_logs_contain(in_force(2)); });
     platform_cluster::wait_until("watches wait", [&] {
       return system.on_platform([&] {
         store_standin& store = system.store();
@@ -85,7 +85,7 @@
 
   void add_route_and_wait() {
     on_platform([&] { system.put_config(3, route("added")); });
-    platform_cluster::wait_until("version 3 is in force", [&] { return all_say(in_force(3)); });
+    platform_cluster::wait_until("version 3 is in force", [&] { return all_logs_contain(in_force(3)); });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       auto const answer =
           system.call(node, http::verb::get, "/added/one", "added-" + std::to_string(node));
@@ -139,7 +139,7 @@
   settle();
   time_point const begin = boot_clock::now();
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test,
@@ -148,7 +148,7 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::store) > 0);
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test,
@@ -157,7 +157,7 @@
   time_point const begin = boot_clock::now();
   on_platform([&] { CHECK(system.store().stall_watches() > 0); });
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, change_is_in_force_in_time_after_all_connections_went_silent) {
@@ -165,7 +165,7 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::all) > 0);
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, change_is_in_force_in_time_after_connections_of_nodes_went_silent) {
@@ -173,7 +173,7 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::nodes) > 0);
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test,
@@ -184,8 +184,8 @@
     CHECK(system.store().stall_watches() > 0);
     system.announce(system.app(0), "draining");
   });
-  platform_cluster::wait_until("all know of the drain", [&] { return all_say("Server drains"); });
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  platform_cluster::wait_until("all know of the drain", [&] { return all_logs_contain("Server drains"); });
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, version_is_ordered_in_time_though_watches_are_never_answered) {
@@ -199,7 +199,7 @@
     return system.on_platform(
         [&] { return !system.engine(0).orders().empty() || !system.engine(1).orders().empty(); });
   });
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, dead_connections_to_servers_delay_few_calls) {
@@ -209,9 +209,9 @@
   // One attempt a server may meet a dead connection; the next one knows.
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     auto const times = timed_calls(node, 12);
-    CHECK(*std::max_element(times.begin(), times.end()) < k_late);
+    CHECK(*std::max_element(times.begin(), times.end()) < k_max_latency);
     auto const late = std::count_if(times.begin(), times.end(),
-                                    [](milliseconds one) { return one > k_objective; });
+                                    [](milliseconds one) { return one > k_target_latency; });
     CHECK(static_cast<std::size_t>(late) <= system.apps());
   }
 }
@@ -229,5 +229,5 @@
     platform_cluster::wait_until("the results are told",
                                  [&] { return system.results_status(node, "job-1") == 200; });
   }
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -92,11 +92,11 @@
   }
 
   /// A server ends under a call of a node that sleeps, and is back before it wakes.
-  void end_server_while_suspended(std::size_t node, milliseconds callers_patience) {
+  void crash_server_while_suspended(std::size_t node, milliseconds read_timeout) {
     std::size_t const before = crashes();
     std::string const id = "slept-" + std::to_string(before);
     auto call = std::async(std::launch::async, [&] {
-      system.call_and_disconnect(node, "/once/x", id, k_poison_text, callers_patience);
+      system.call_and_disconnect(node, "/once/x", id, k_poison_text, read_timeout);
     });
     platform_cluster::wait_until("the call is at a server",
                                  [&] { return count_arrivals(system, id) > 0; });
@@ -110,9 +110,9 @@
     wait_for_service(node);
   }
 
-  void end_three_servers_while_suspended(milliseconds callers_patience) {
+  void crash_three_servers_while_suspended(milliseconds read_timeout) {
     for (std::size_t number = 0; number < k_crashes_allowed; ++number) {
-      end_server_while_suspended(number % system.nodes(), callers_patience);
+      crash_server_while_suspended(number % system.nodes(), read_timeout);
     }
   }
 
@@ -134,19 +134,19 @@
   }
 };
 
-TEST(suspended_crash_test, crashes_under_calls_whose_callers_have_left_count) {
-  end_three_servers_while_suspended(k_short_read_timeout);
+TEST(suspended_crash_test, crashes_count_after_callers_disconnected) {
+  crash_three_servers_while_suspended(k_short_read_timeout);
   LONGS_EQUAL(3, crashes());
   CHECK(late_crashes() <= k_retries_allowed);
 }
 
-TEST(suspended_crash_test, crashes_under_calls_whose_callers_wait_count) {
-  end_three_servers_while_suspended(k_long_read_timeout);
+TEST(suspended_crash_test, crashes_count_while_callers_wait) {
+  crash_three_servers_while_suspended(k_long_read_timeout);
   LONGS_EQUAL(3, crashes());
   CHECK(late_crashes() <= k_retries_allowed);
 }
 
-TEST(suspended_crash_test, calls_that_slept_beside_a_planned_restart_are_served) {
+TEST(suspended_crash_test, calls_are_served_after_planned_restarts) {
   system.set_crash_text("");
   for (std::size_t number = 0; number < k_crashes_allowed; ++number) {
     system.on_platform([&] {
--- a/tests/platform/suspended_node_test.cc
+++ b/tests/platform/suspended_node_test.cc
@@ -12,13 +12,13 @@
 namespace {
 
 /// The routes' time for a call, of the stand-ins' configuration.
-constexpr milliseconds k_call_time{2000};
+constexpr milliseconds k_route_timeout{2000};
 /// The call's time ends in this sleep, and a little after that one.
-constexpr milliseconds k_long_sleep{2200};
-constexpr milliseconds k_short_sleep{1700};
+constexpr milliseconds k_long_suspension{2200};
+constexpr milliseconds k_short_suspension{1700};
 /// From the end of the call's time, or the machine's return, to the answer: a node looks at its
 /// clock four times a second.
-constexpr milliseconds k_answer_time{800};
+constexpr milliseconds k_max_answer_delay{800};
 /// How long the client reads on, so that it sees when an answer comes.
 constexpr milliseconds k_read_timeout{8000};
 
@@ -55,7 +55,7 @@
 
   /// Suspends a node while servers hold a call of it.
   /// @return the answer's status, and how long after its time, or the node's return, it came.
-  std::pair<unsigned, milliseconds> call_through_sleep(std::string const& path,
+  std::pair<unsigned, milliseconds> call_across_suspension(std::string const& path,
                                                        milliseconds duration) {
     silence_apps();
     time_point const begin = boot_clock::now();
@@ -67,27 +67,27 @@
     platform_cluster::wait_until("the machine has slept long enough",
                                  [&] { return boot_clock::now() >= begin + duration; });
     system.wake(0);
-    time_point const due = std::max(boot_clock::now(), begin + k_call_time);
+    time_point const due = std::max(boot_clock::now(), begin + k_route_timeout);
     auto const got = answer.get();
     auto const late = std::chrono::duration_cast<milliseconds>(boot_clock::now() - due);
     return {got ? got.value().result_int() : 0, late};
   }
 };
 
-TEST(suspended_node_test, call_whose_time_ended_meanwhile_is_answered_at_once) {
-  auto const [status, late] = call_through_sleep("/once/x", k_long_sleep);
+TEST(suspended_node_test, call_whose_deadline_passed_meanwhile_is_answered_immediately) {
+  auto const [status, late] = call_across_suspension("/once/x", k_long_suspension);
   LONGS_EQUAL(504, status);
-  CHECK(late < k_answer_time);
+  CHECK(late < k_max_answer_delay);
 }
 
-TEST(suspended_node_test, call_whose_time_ends_after_the_return_is_answered_in_time) {
-  auto const [status, late] = call_through_sleep("/once/x", k_short_sleep);
+TEST(suspended_node_test, call_whose_deadline_passes_after_the_resume_is_answered_in_time) {
+  auto const [status, late] = call_across_suspension("/once/x", k_short_suspension);
   LONGS_EQUAL(504, status);
-  CHECK(late < k_answer_time);
+  CHECK(late < k_max_answer_delay);
 }
 
-TEST(suspended_node_test, call_that_may_be_repeated_is_answered_at_once_too) {
-  auto const [status, late] = call_through_sleep("/calls/x", k_long_sleep);
+TEST(suspended_node_test, repeatable_call_is_answered_immediately_too) {
+  auto const [status, late] = call_across_suspension("/calls/x", k_long_suspension);
   LONGS_EQUAL(504, status);
-  CHECK(late < k_answer_time);
+  CHECK(late < k_max_answer_delay);
 }
--- a/tests/platform/tenants_test.cc
+++ b/tests/platform/tenants_test.cc
@@ -130,7 +130,7 @@
                                [&] { return system.end_job(other, "job-1") == 200; });
 }
 
-TEST(tenants_test, key_that_is_taken_away_ends_and_one_that_is_added_begins_with_a_version) {
+TEST(tenants_test, keys_are_removed_and_added_with_a_configuration_version) {
   system.use_key("key-a");
   LONGS_EQUAL(200, status_of(0, "/calls/a", "before"));
   test_item item{"item-1", "group"};
@@ -156,7 +156,7 @@
   }
 }
 
-TEST(tenants_test, faulty_tenants_leave_the_configuration_before_in_force) {
+TEST(tenants_test, invalid_tenants_leave_the_previous_configuration_in_force) {
   system.on_platform([&] {
     system.set_tenants(R"([{"name":"first","api_keys":["key-a","key-a"]}])");
     system.put_config(2);
--- a/tests/platform/usage_test.cc
+++ b/tests/platform/usage_test.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /// Two holders' calls must keep this distance (orders.gap_ms of the cluster).
-constexpr milliseconds k_turn_gap{300};
+constexpr milliseconds k_min_holder_gap{300};
 
 platform_options with_usage() {
   platform_options options;
@@ -49,8 +49,8 @@
                                  [&] { return reported("first") >= requests; });
   }
 
-  void check_rules() {
-    auto const found = system.on_platform([&] { return system.duties().violations(k_turn_gap); });
+  void check_no_violations() {
+    auto const found = system.on_platform([&] { return system.duties().violations(k_min_holder_gap); });
     for (std::string const& one : found) FAIL(one.c_str());
   }
 
@@ -72,7 +72,7 @@
                                [&] { return reports() >= before + 3; });
   LONGS_EQUAL(9, reported("first"));
   LONGS_EQUAL(1, reported("second"));
-  check_rules();
+  check_no_violations();
 }
 
 TEST(usage_test, requests_that_no_server_ran_are_not_usage) {
@@ -98,10 +98,10 @@
   for (std::size_t number = 0; number < 6; ++number) send((holder + 2) % system.nodes());
   wait_until_reported(sent);
   LONGS_EQUAL(sent, reported("first"));
-  check_rules();
+  check_no_violations();
 }
 
-TEST(usage_test, frozen_holder_that_wakes_reports_nothing_in_turns) {
+TEST(usage_test, frozen_holder_does_not_report_again_after_it_resumes) {
   std::size_t const holder = system.duty_holder();
   platform_cluster::wait_until("it reports", [&] { return reports() > 0; });
   send((holder + 1) % system.nodes());
@@ -113,7 +113,7 @@
   system.node(holder).send_signal(SIGCONT);
   send((holder + 1) % system.nodes());
   wait_until_reported(sent);
-  check_rules();
+  check_no_violations();
 }
 
 TEST(usage_test, planned_stop_of_the_holder_hands_its_own_counts_on) {
@@ -122,7 +122,7 @@
   system.node(holder).send_signal(SIGTERM);
   wait_until_reported(5);
   LONGS_EQUAL(5, reported("first"));
-  check_rules();
+  check_no_violations();
 }
 
 TEST(usage_test, silent_busy_and_lost_answers_change_no_report) {
@@ -139,7 +139,7 @@
   set_faults([](duty_faults& faults) { faults.busy = false; });
   wait_until_reported(3);
   LONGS_EQUAL(3, reported("first"));
-  check_rules();
+  check_no_violations();
 }
 
 TEST(usage_test, outage_of_the_store_delays_reports_and_loses_none) {
@@ -157,5 +157,5 @@
   wait_until_reported(sent);
   CHECK(reports() > before);
   LONGS_EQUAL(sent, reported("first"));
-  check_rules();
+  check_no_violations();
 }
--- a/tests/platform_standin/duty_standin.cc
+++ b/tests/platform_standin/duty_standin.cc
@@ -62,7 +62,7 @@
   co_return http::make_response(http::status::ok, "{}", http::k_json);
 }
 
-std::vector<std::string> duty_standin::violations(milliseconds turn_gap) const {
+std::vector<std::string> duty_standin::violations(milliseconds holder_gap) const {
   std::vector<std::string> found;
   std::map<std::uint64_t, std::map<std::string, std::uint64_t>> windows;
   std::map<std::uint64_t, std::string> holders;
@@ -78,7 +78,7 @@
     if (call.fence < highest) found.push_back(where + ": fence goes back");
     auto const own = last_call.find(call.holder);
     bool const turns =
-        own != last_call.end() && before != call.holder && call.at - own->second < turn_gap;
+        own != last_call.end() && before != call.holder && call.at - own->second < holder_gap;
     if (turns) found.push_back(where + ": holders take turns");
     highest = std::max(highest, call.fence);
     last_call[call.holder] = call.at;
--- a/tests/platform_standin/duty_standin.h
+++ b/tests/platform_standin/duty_standin.h
@@ -39,8 +39,8 @@
   /// Returns all accepted calls in order of arrival.
   std::vector<duty_call> const& calls() const { return calls_; }
   /// Returns one text for each violation: reports of the same window that differ, a fence that
-  /// decreases or is shared by two holders, or holders that alternate within `turn_gap`.
-  std::vector<std::string> violations(milliseconds turn_gap) const;
+  /// decreases or is shared by two holders, or holders that alternate within `holder_gap`.
+  std::vector<std::string> violations(milliseconds holder_gap) const;
   /// Returns the number of requests reported for a tenant, counting each window once.
   std::uint64_t reported(std::string const& tenant) const;
 
