--- a/tests/platform/calls_test.cc
+++ b/tests/platform/calls_test.cc
@@ -1,5 +1,5 @@
-/// @file Ordinary calls on the users' platform: what may run twice, what is refused, what a client
-/// gets.
+/// @file Ordinary calls on the users' platform: retries, refusals, streams, draining, configuration
+/// changes and planned stops.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -86,7 +86,7 @@
   LONGS_EQUAL(503, answer.value().result_int());
   CHECK(!http::header(answer.value(), "Retry-After").empty());
   CHECK(boot_clock::now() - begin < seconds(1));
-  for (arrival const& one : app_arrivals()) CHECK(!one.ran);
+  for (arrival const& entry : app_arrivals()) CHECK(!entry.ran);
 }
 
 TEST(calls_test, stream_that_breaks_is_resumed_inside_one_answer) {
@@ -143,15 +143,15 @@
     LONGS_EQUAL(200, answer.value().result_int());
   }
   LONGS_EQUAL(before, system.on_platform([&] { return system.app(0).arrivals().size(); }));
-  // The other one is replaced by another life at its address, unknown to the directory yet.
+  // The other server restarts at its address; the directory doesn't know the new incarnation yet.
   system.on_platform([&] {
     system.app(1).restart("app-3.2");
     return 0;
   });
   auto const answer = system.call(0, http::verb::post, "/once/x", "reuse", "b");
   LONGS_EQUAL(503, answer.value().result_int());
-  for (arrival const& one : app_arrivals()) {
-    if (one.request == "reuse") CHECK(!one.ran);
+  for (arrival const& entry : app_arrivals()) {
+    if (entry.request == "reuse") CHECK(!entry.ran);
   }
 }
 
@@ -198,7 +198,7 @@
     system.put_config(4);
     return 0;
   });
-  // A version after it shows that the older one was seen.
+  // Once a later version is in force, the older one has been processed.
   system.on_platform([&] {
     system.put_config(6, route);
     return 0;
@@ -216,7 +216,7 @@
     system.store().faults().busy = true;
     return 0;
   });
-  // A node that still runs would tell it the configuration.
+  // A running node would pass the configuration on.
   for (std::size_t node = 0; node < system.nodes(); ++node) system.node(node).kill();
   system.start_node(0);
   platform_cluster::wait_until("it listens", [&] {
@@ -255,11 +255,11 @@
   LONGS_EQUAL(0, system.node(0).wait(15));
   stop = true;
   caller.join();
-  // A connection that the stopping process never took up is reset: one at most, since the caller
-  // makes one at a time and the listener closes once. What was passed on has its answer.
+  // A connection that the stopping process had not accepted is reset: at most one, since the caller
+  // opens one at a time and the listener closes once. Forwarded calls are answered.
   CHECK(unanswered.size() <= 1);
-  for (arrival const& one : app_arrivals()) {
-    for (std::string const& id : unanswered) CHECK(one.request != id);
+  for (arrival const& entry : app_arrivals()) {
+    for (std::string const& id : unanswered) CHECK(entry.request != id);
   }
 }
 
--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -1,4 +1,5 @@
-/// @file A request that ends each server that begins to run it, and comes again at any node.
+/// @file A request that crashes every server that runs it must be quarantined on all nodes after
+/// three crashes, without affecting other requests.
 
 #include <CppUTest/TestHarness.h>
 
@@ -18,14 +19,14 @@
 namespace {
 
 constexpr char k_poison_text[] = "deadly";
-/// From this long after the third crash on, only few retries may reach a server.
+/// Time after the third crash from which on only a few retries may reach a server.
 constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-/// Tries after the bound holds: each would end up to three servers.
+/// Calls made after the quarantine takes effect; without it each would crash up to three servers.
 constexpr std::size_t k_tries_after_bound = 12;
 constexpr milliseconds k_read_timeout{800};
-/// Calls of each of those that stood beside it which come again: those of its time.
+/// Maximum number of calls that each concurrent caller repeats at the end.
 constexpr int k_bystander_retries = 12;
 
 std::vector<test_item> make_items(std::string const& job, std::size_t count) {
@@ -39,9 +40,9 @@
 
 std::set<std::string> completed(boost::json::object const& listed) {
   std::set<std::string> all;
-  for (auto const& one : listed.at("results").as_array()) {
-    bool const whole = json_text(one.as_object(), "state") == "completed";
-    if (whole) all.insert(json_text(one.as_object(), "id"));
+  for (auto const& entry : listed.at("results").as_array()) {
+    bool const whole = json_text(entry.as_object(), "state") == "completed";
+    if (whole) all.insert(json_text(entry.as_object(), "id"));
   }
   return all;
 }
@@ -55,7 +56,7 @@
 
   void setup() override { system.set_crash_text(k_poison_text); }
 
-  /// Requests that the store says are kept from servers.
+  /// Returns the number of quarantine records in the store.
   std::size_t quarantine_records() { return count_records(system, k_quarantine_records); }
 
   std::vector<arrival> app_arrivals() {
@@ -69,7 +70,7 @@
     });
   }
 
-  /// How often the request reached a server once the bound held.
+  /// Returns how often the request reached a server after the quarantine took effect.
   std::size_t late_arrivals() {
     auto const times = poison_arrivals(system);
     if (times.size() < k_crashes_allowed) return 0;
@@ -84,7 +85,7 @@
            boot_clock::now() > times[k_crashes_allowed - 1] + k_propagation_time;
   }
 
-  /// @return the status; 0 without an answer.
+  /// @return the HTTP status; 0 without an answer.
   unsigned try_poison_request(std::string const& path) {
     std::size_t const number = next_try++;
     auto const answer =
@@ -93,7 +94,7 @@
     return answer ? answer.value().result_int() : 0;
   }
 
-  /// Waits until the node that is tried next can serve other requests on this path.
+  /// Waits until the next node serves other requests on this path.
   void wait_for_service(std::string const& path) {
     platform_cluster::wait_until("others are served", [&] {
       auto const answer =
@@ -103,7 +104,8 @@
     });
   }
 
-  /// Tries the poison request at all nodes in turn until the bound holds, and some times after.
+  /// Sends the poison request to all nodes in turn until the quarantine takes effect, and
+  /// k_tries_after_bound times afterwards.
   void keep_trying(std::string const& path) {
     platform_cluster::wait_until("three servers have ended long enough ago", [&] {
       try_poison_request(path);
@@ -128,7 +130,7 @@
     }
     return 0;
   });
-  // Requests at the same time leave kept connections to all servers.
+  // Concurrent requests leave idle connections to all servers.
   platform_cluster::wait_until("the node has been connected to all servers", [&] {
     std::vector<std::future<bool>> others;
     for (std::size_t number = 0; number < 12; ++number) {
@@ -139,7 +141,7 @@
         return answer.has_value();
       }));
     }
-    for (auto& one : others) one.get();
+    for (auto& other : others) other.get();
     return system.on_platform([&] {
       for (std::size_t index = 0; index < system.apps(); ++index) {
         if (system.app(index).arrivals().empty()) return false;
@@ -169,7 +171,7 @@
   LONGS_EQUAL(11, completed(listed).size());
   platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
   std::size_t const then = late_arrivals();
-  // The same sample in a job that comes later is the same request.
+  // The same sample in a later job is the same request.
   LONGS_EQUAL(202, system.submit(1, "again", {items[3], {"fresh", "group-f"}}));
   CHECK(completed(system.wait_for_results(2, "again", 1)).contains("fresh"));
   CHECK(then <= k_retries_allowed);
@@ -177,7 +179,7 @@
 }
 
 TEST(crashing_request_test, concurrent_samples_are_not_quarantined) {
-  // All engines are full, so that it takes seven others along each time.
+  // Full engines: each crash also interrupts seven other samples.
   auto items = make_items("job", 32);
   items[3].prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
@@ -214,7 +216,7 @@
     STRCMP_EQUAL("60", std::string(http::header(answer.value(), "Retry-After")).c_str());
     CHECK(answer.value().body().find("quarantined") != std::string::npos);
   }
-  for (arrival const& one : app_arrivals()) CHECK(!one.request.starts_with("refused-"));
+  for (arrival const& entry : app_arrivals()) CHECK(!entry.request.starts_with("refused-"));
 }
 
 TEST(crashing_request_test, quarantine_survives_a_restart_of_all_nodes) {
@@ -231,7 +233,7 @@
       return answer && answer.value().body().find("quarantined") != std::string::npos;
     });
   }
-  // The record takes a moment to take effect on a node that has just started.
+  // The record does not take effect immediately on a node that has just started.
   CHECK(poison_arrivals(system).size() <= before + system.nodes() * k_crashes_allowed);
   std::size_t const after = poison_arrivals(system).size();
   for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
@@ -312,7 +314,7 @@
     }
     return 0;
   });
-  // The nodes that bring evidence together do not see the request answered.
+  // The relays collect the evidence but see no answers to the request.
   std::vector<std::size_t> callers_nodes;
   std::set<std::size_t> const relays = {wide.relay(0), wide.relay(1), wide.relay(2)};
   for (std::size_t node = 0; node < wide.nodes(); ++node) {
@@ -337,7 +339,7 @@
   for (int round = 0; round < 4; ++round) {
     int const then = served;
     platform_cluster::wait_until("the request is served", [&] { return served > then + 30; });
-    // Three of four servers end at once, under many runs of the same request.
+    // Crash three of four servers at once while many runs of the request are in flight.
     wide.on_platform([&] {
       for (std::size_t index = 0; index < 3; ++index) {
         wide.app((index + static_cast<std::size_t>(round)) % 4).crash();
@@ -354,7 +356,7 @@
     });
   }
   stop = true;
-  for (std::thread& one : callers) one.join();
+  for (std::thread& caller : callers) caller.join();
   LONGS_EQUAL(0, refused);
   bool suspected = false;
   for (std::size_t node : relays) {
@@ -379,7 +381,7 @@
     callers.emplace_back([&, number] {
       for (int call = 0; !stop; ++call) {
         auto const id = "beside-" + std::to_string(number) + "-" + std::to_string(call);
-        // Each comes again until it is answered, as a scorer's call does.
+        // Retries until it is answered, like a scorer's call.
         for (std::size_t attempt = 0; !stop; ++attempt) {
           auto const answer = system.call((number + attempt) % system.nodes(), http::verb::post,
                                           "/calls/x", id, "body of " + id, k_read_timeout);
@@ -395,9 +397,9 @@
   int const then = served;
   platform_cluster::wait_until("all callers are served", [&] { return served > then + 100; });
   stop = true;
-  for (std::thread& one : callers) one.join();
-  // Some may have been taken for what they stood beside, after they were answered elsewhere. One
-  // that comes again is served: its trial is due by now, and clears it.
+  for (std::thread& caller : callers) caller.join();
+  // Some requests may have become suspects after another server answered them. When repeated, they
+  // are served: their trial is due by now and clears them.
   std::size_t node = 0;
   for (std::size_t number = 0; number < callers.size(); ++number) {
     for (int call = 0; call < served_by[number]; ++call) {
--- a/tests/platform/cut_runs_test.cc
+++ b/tests/platform/cut_runs_test.cc
@@ -1,20 +1,5 @@
-/// @file A request that ends its servers, whose runs this system gives up before the servers end.
-///
-/// What happens: a run is given up while a server is at work on it, since its caller has left, its
-/// time is over or nothing came of it for long. The server ends some milliseconds later. Nobody
-/// waits for it any more, so nobody learns of it: for this request no crash is ever counted, and it
-/// ends servers for as long as it comes.
-///
-/// Why: evidence came only from connections that broke under a run. One that this side closes does
-/// not break.
-///
-/// What showed it: soak seed 231 (calls cut at the return from a suspension, servers that ended
-/// 20 ms later; two of four crashes were known), and these tests, whose callers leave 40 ms after
-/// a call at servers that end 60 ms after it: before the mend no node wrote "Server ended under a
-/// request" in any of them.
-///
-/// Since: a server at which a run was given up is looked at until it can't be at work on it any
-/// more (quarantine/crash_watch).
+/// @file Guards against uncounted crashes: a server that crashes shortly after this side abandoned
+/// its run, so that no connection breaks under it, must still count towards the quarantine.
 
 #include <CppUTest/TestHarness.h>
 
@@ -28,19 +13,19 @@
 namespace {
 
 constexpr char k_poison_text[] = "deadly";
-/// From this long after the third crash on, only few retries may reach a server.
+/// Time after the third crash from which on only a few retries may reach a server.
 constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-/// Tries after the bound holds.
+/// Calls made after the quarantine takes effect.
 constexpr std::size_t k_tries_after_bound = 12;
 constexpr milliseconds k_read_timeout{800};
 constexpr milliseconds k_short_read_timeout{40};
-/// From the arrival of a poison request to its server's end: after the caller has left.
+/// Time from the arrival of a poison request to the crash, after the caller has disconnected.
 constexpr milliseconds k_slow_crash{60};
-/// The same, after an attempt of a call that may be repeated has been given up (300 ms).
+/// Crash time after an attempt of a repeatable call has been abandoned (300 ms).
 constexpr milliseconds k_crash_after_attempt{340};
-/// The same, after the first event of a sample's run was waited for in vain (2.5 s).
+/// Crash time after the wait for the first event of a sample's run has timed out (2.5 s).
 constexpr milliseconds k_crash_after_run{2550};
 
 }  // namespace
@@ -91,8 +76,8 @@
     });
   }
 
-  /// Waits until what the last try ended is back, so that no other connection breaks with it, and
-  /// others are served by the node that is tried next.
+  /// Waits until crashed servers have restarted, so that other requests don't lose their
+  /// connections, and the next node serves other requests.
   void wait_for_service(std::string const& path) {
     platform_cluster::wait_until("servers are back", [&] {
       auto const times = poison_arrivals(system);
@@ -107,17 +92,17 @@
     });
   }
 
-  /// A caller closes its connection.
+  /// Sends the poison request and closes the connection early.
   void call_and_disconnect(std::string const& path) {
     std::size_t const number = next_try++;
     system.call_and_disconnect(number % system.nodes(), path, "deadly-" + std::to_string(number),
                                k_poison_text, k_short_read_timeout);
   }
 
-  /// A caller says that it waits no longer than that.
+  /// Sends the poison request with a short deadline.
   void call_with_short_deadline(std::string const& path) {
     std::size_t const number = next_try++;
-    // What it is answered is judged by what reaches the servers.
+    // The answer is ignored: the test counts arrivals at the servers.
     static_cast<void>(system.call(number % system.nodes(), http::verb::post, path,
                                   "deadly-" + std::to_string(number), k_poison_text,
                                   k_short_read_timeout));
@@ -179,7 +164,7 @@
   item.prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", {item}));
   platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
-  // Without a bound one more run would begin each 2.5 s.
+  // Without the quarantine another run would start every 2.5 s.
   LONGS_EQUAL(202, system.submit(1, "again", {item}));
   LONGS_EQUAL(202, system.submit(2, "once-more", {item}));
   time_point const observed = boot_clock::now() + 3 * k_crash_after_run;
@@ -207,7 +192,7 @@
 }
 
 TEST(cut_runs_test, sample_without_a_reachable_engine_is_not_suspected) {
-  // Its runs find nobody at the engines' addresses: they have ended before it came.
+  // The engines are down before the job is submitted, so its runs can't connect.
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.engines(); ++index) {
       system.engine(index).faults().down_time = milliseconds(1000);
--- a/tests/platform/early_record_test.cc
+++ b/tests/platform/early_record_test.cc
@@ -1,5 +1,5 @@
-/// @file A request under which only two servers have ended: what is recorded of it before its third
-/// run must not keep other callers of the same request from servers.
+/// @file A record of a request with only two crashes must not keep other callers of the same
+/// request from servers.
 
 #include <CppUTest/TestHarness.h>
 
@@ -13,7 +13,7 @@
 constexpr char k_text[] = "popular";
 constexpr milliseconds k_read_timeout{1500};
 constexpr milliseconds k_long_down_time{60'000};
-/// A record of three crashes would be in force everywhere by then, and no trial be due.
+/// Time after which a record of three crashes would be in effect on all nodes, with no trial due.
 constexpr milliseconds k_record_effect_time{1100};
 
 platform_options with_four_servers() {
@@ -28,7 +28,7 @@
 TEST_GROUP(early_record_test) {
   platform_cluster system{with_four_servers()};
 
-  /// Two servers end under the request, and none is left for its third run.
+  /// Crashes two servers with the request; no server is left for a third run.
   void crash_two_servers() {
     system.on_platform([&] {
       for (std::size_t index : {0u, 1u}) {
--- a/tests/platform/frozen_owner_test.cc
+++ b/tests/platform/frozen_owner_test.cc
@@ -1,4 +1,5 @@
-/// @file An owner that was frozen for longer than its lease: others have gone on without it.
+/// @file An owner that was frozen for longer than its lease must send nothing for jobs that ended
+/// meanwhile.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -11,7 +12,7 @@
 namespace {
 
 constexpr std::size_t k_items = 24;
-/// Within that time of an acknowledged end its items may still reach an engine.
+/// Time after the acknowledged end of a job in which its items may still reach an engine.
 constexpr milliseconds k_cancel_time{3000};
 
 }  // namespace
@@ -27,8 +28,8 @@
     return items;
   }
 
-  /// Freezes the owner until another one has ended the job and nothing of it may arrive any more.
-  /// @return its index.
+  /// Freezes the owner until another owner has ended the job and the time for its last arrivals has
+  /// passed. @return the frozen node's index.
   std::size_t freeze_until_job_is_over() {
     std::size_t const frozen = system.owner();
     std::size_t const other = (frozen + 1) % system.nodes();
@@ -41,7 +42,7 @@
     return frozen;
   }
 
-  /// Returns when the thawed node has heard of its successor, and has served since.
+  /// Resumes the node and waits until it has learned of its successor and serves requests.
   void resume_owner(std::size_t frozen) {
     system.node(frozen).send_signal(SIGCONT);
     platform_cluster::wait_until("the owner knows that it is none any more", [&] {
--- a/tests/platform/jobs_test.cc
+++ b/tests/platform/jobs_test.cc
@@ -40,18 +40,18 @@
   return text;
 }
 
-/// Every result is whole, scored by its own scorer, and stands at one position.
+/// Checks that every result is complete, has its own scorer's score and is listed once.
 void check_whole(boost::json::object const& listed, std::size_t count,
                  std::uint32_t events = k_events) {
   auto const& results = listed.at("results").as_array();
   LONGS_EQUAL(count, results.size());
   std::set<std::string> seen;
-  for (auto const& one : results) {
-    std::string const id = json_text(one.as_object(), "id");
+  for (auto const& entry : results) {
+    std::string const id = json_text(entry.as_object(), "id");
     CHECK(seen.insert(id).second);
-    STRCMP_EQUAL("completed", json_text(one.as_object(), "state").c_str());
-    STRCMP_EQUAL(whole_text(id, events).c_str(), json_text(one.as_object(), "text").c_str());
-    STRCMP_EQUAL(("stamp-score-" + id).c_str(), json_text(one.as_object(), "score").c_str());
+    STRCMP_EQUAL("completed", json_text(entry.as_object(), "state").c_str());
+    STRCMP_EQUAL(whole_text(id, events).c_str(), json_text(entry.as_object(), "text").c_str());
+    STRCMP_EQUAL(("stamp-score-" + id).c_str(), json_text(entry.as_object(), "score").c_str());
   }
 }
 
@@ -84,7 +84,7 @@
   LONGS_EQUAL(202, system.submit(1, "job", make_items("job", 4)));
   check_whole(system.wait_for_results(2, "job", 4), 4);
   std::map<std::string, int> runs;
-  for (arrival const& one : engine_arrivals(system)) ++runs[one.request];
+  for (arrival const& entry : engine_arrivals(system)) ++runs[entry.request];
   for (auto const& [id, count] : runs) LONGS_EQUAL(1, count);
 }
 
@@ -100,8 +100,8 @@
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 8)));
   check_whole(system.wait_for_results(1, "job", 8), 8);
   int resumed = 0;
-  for (arrival const& one : engine_arrivals(system)) {
-    if (one.last_event == "1") ++resumed;
+  for (arrival const& entry : engine_arrivals(system)) {
+    if (entry.last_event == "1") ++resumed;
   }
   CHECK(resumed >= 1);
 }
@@ -150,7 +150,7 @@
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 60)));
   platform_cluster::wait_until("runs have begun", [&] { return !engine_arrivals(system).empty(); });
   LONGS_EQUAL(200, system.end_job(1, "job"));
-  // What was under way when the end was acknowledged has arrived once a later job is done.
+  // Requests in flight when the end was acknowledged have arrived once a later job is done.
   LONGS_EQUAL(202, system.submit(2, "next", make_items("next", 4)));
   system.wait_for_results(0, "next", 4);
   std::size_t const before = engine_arrivals(system).size();
@@ -163,9 +163,9 @@
   for (std::size_t index = 0; index < system.engines(); ++index) {
     auto const arrivals = system.on_platform([&] { return system.engine(index).arrivals(); });
     bool later_job_seen = false;
-    for (arrival const& one : arrivals) {
-      later_job_seen = later_job_seen || one.request.starts_with("last");
-      if (later_job_seen && one.request.starts_with("job")) ++of_ended;
+    for (arrival const& entry : arrivals) {
+      later_job_seen = later_job_seen || entry.request.starts_with("last");
+      if (later_job_seen && entry.request.starts_with("job")) ++of_ended;
     }
   }
   LONGS_EQUAL(0, of_ended);
@@ -192,7 +192,7 @@
   platform_cluster system{platform_options()};
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", 4)));
   std::size_t const owner = system.owner();
-  // Only this node is left, so nobody else can take the pool.
+  // Only this node is left, so no other node can claim the pool.
   for (std::size_t index = 0; index < 3; ++index) system.node(index).kill();
   system.start_node(owner);
   platform_cluster::wait_until("it is ready", [&] { return system.is_ready(owner); });
@@ -200,7 +200,7 @@
   platform_cluster::wait_until("the log tells so", [&] {
     return system.log(owner).find("Ownership acquired") != std::string::npos;
   });
-  // The record of the former process was replaced; it had not gone with its lease.
+  // The previous incarnation's record was replaced before its lease expired.
   auto const record =
       system.on_platform([&] { return system.store().items().at("frostline/owners/engines"); });
   CHECK(record.revision > record.created);
@@ -215,7 +215,7 @@
 }
 
 TEST(jobs_test, long_runs_go_on_after_all_nodes_were_killed_at_once) {
-  // Long enough for some checkpoints.
+  // Long enough for several checkpoints.
   platform_options options;
   options.events = 25;
   options.event_gap = milliseconds(200);
@@ -234,7 +234,7 @@
   check_whole(system.wait_for_results(1, "job", 4), 4, options.events);
   auto const arrivals = engine_arrivals(system);
   CHECK(std::any_of(arrivals.begin(), arrivals.end(),
-                    [](arrival const& one) { return !one.last_event.empty(); }));
+                    [](arrival const& entry) { return !entry.last_event.empty(); }));
 }
 
 TEST(jobs_test, results_finished_while_the_store_is_silent_are_listed_after_it) {
@@ -272,7 +272,7 @@
                                [&] { return system.submit(1, "late", make_items("late", 8)); });
   platform_cluster::wait_until("its samples run",
                                [&] { return engine_arrivals(system).size() >= before + 8; });
-  // Nothing is accepted yet, so nothing is shown; and nobody is told that it does not exist.
+  // The job is not accepted yet: no results are listed, but it is not reported as unknown.
   LONGS_EQUAL(503, system.results_status(2, "late"));
   system.on_platform([&] {
     system.store().faults().silent = false;
@@ -280,7 +280,7 @@
   });
   LONGS_EQUAL(202, submission.get());
   check_whole(system.wait_for_results(2, "late", 8), 8);
-  // Each ran once: what ran ahead counts.
+  // Each sample ran once: runs before the acceptance are kept.
   LONGS_EQUAL(before + 8, engine_arrivals(system).size());
 }
 
@@ -377,7 +377,7 @@
     if (node == former) continue;
     for (std::string const& job : jobs) {
       system.wait_for_results(node, job, 2);
-      // Twice: answered by its mark at first, and by its data once that is read.
+      // Twice: answered from the end marker first, then from the job's data once it is loaded.
       for (int time = 0; time < 2; ++time) {
         auto const end = system.results(node, job, 2);
         CHECK(end.has_value());
--- a/tests/platform/lost_crash_records_test.cc
+++ b/tests/platform/lost_crash_records_test.cc
@@ -1,19 +1,5 @@
-/// @file All nodes end with the third crash of a request of which no call has met two crashes
-/// itself: calls with a single attempt, which come to different nodes, and samples.
-///
-/// What happens: three servers end under the request, and all nodes lose power with the third,
-/// before the record is written that keeps it from servers. The nodes that are back know nothing of
-/// it, and it ends servers three times more and what comes until the next record is in force.
-///
-/// Why: evidence is kept in the memories of the nodes that saw it and of those that collect it. It
-/// was stored before a third run only for calls that had met two crashes in one node's sight.
-///
-/// What showed it: soak seeds 215 and 231 (9 late crashes each), and these tests: before the mend
-/// more than three servers end again, and no node writes a record before that.
-///
-/// Since: from the second crash on, whoever saw it, evidence is kept in the store; nodes that find
-/// it at their start, with nobody left who remembers it, put the request under quarantine
-/// (quarantine/service_evidence).
+/// @file Guards against lost evidence when all nodes fail together with the third crash of a
+/// request whose crashes were seen by different nodes: the evidence must survive in the store.
 
 #include <CppUTest/TestHarness.h>
 
@@ -26,7 +12,7 @@
 
 constexpr char k_poison_text[] = "deadly";
 constexpr milliseconds k_read_timeout{800};
-/// From this long after the third crash on, only few retries may reach a server.
+/// Time after the third crash from which on only a few retries may reach a server.
 constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
@@ -86,7 +72,7 @@
   }
 
   void call_poison(std::size_t number) {
-    // What it is answered is judged by what reaches the servers.
+    // The answer is ignored: the test counts arrivals at the servers.
     static_cast<void>(system.call(number % system.nodes(), http::verb::post, "/once/x",
                                   "deadly-" + std::to_string(number), k_poison_text,
                                   k_read_timeout));
@@ -95,8 +81,8 @@
   bool is_completed(std::string const& job, std::string const& id) {
     auto const listed = system.results(0, job);
     if (!listed) return false;
-    for (auto const& one : listed->at("results").as_array()) {
-      auto const& result = one.as_object();
+    for (auto const& entry : listed->at("results").as_array()) {
+      auto const& result = entry.as_object();
       if (result.at("id").as_string() == id && result.at("state").as_string() == "completed") {
         return true;
       }
@@ -104,8 +90,8 @@
     return false;
   }
 
-  /// Hands a job in whose sample, or whose scorer's call, ends servers; all nodes end with the
-  /// third of them.
+  /// Submits a job whose sample or scorer's call crashes servers, and kills all nodes at the third
+  /// crash.
   void kill_nodes_at_third_crash(test_item const& poison) {
     LONGS_EQUAL(202, system.submit(0, "job", {poison}));
     platform_cluster::wait_until("three servers have ended",
--- a/tests/platform/lost_evidence_test.cc
+++ b/tests/platform/lost_evidence_test.cc
@@ -1,4 +1,5 @@
-/// @file A request that ends its servers, when all nodes end before anything about it is recorded.
+/// @file A poison request must be quarantined soon after all nodes fail before they record anything
+/// about it.
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,7 +12,7 @@
 
 constexpr char k_poison_text[] = "deadly";
 constexpr milliseconds k_read_timeout{800};
-/// From this long after the third crash on, only few retries may reach a server.
+/// Time after the third crash from which on only a few retries may reach a server.
 constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_retries_allowed = 3;
 constexpr std::size_t k_tries_after_bound = 12;
@@ -63,7 +64,7 @@
   for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     std::size_t const node = number % system.nodes();
     wait_for_service(node);
-    // What it is answered is judged by what reaches the servers.
+    // The answer is ignored: the test counts arrivals at the servers.
     static_cast<void>(system.call(node, http::verb::post, "/calls/x",
                                   "late-" + std::to_string(number), k_poison_text, k_read_timeout));
   }
--- a/tests/platform/orders_test.cc
+++ b/tests/platform/orders_test.cc
@@ -1,4 +1,4 @@
-/// @file Orders to model servers: who gives them, when, and what a lost answer does.
+/// @file Orders to model servers: distance between owners, fences, lost answers and store outages.
 
 #include <CppUTest/TestHarness.h>
 
@@ -48,7 +48,7 @@
   publish_version(3);
   platform_cluster::wait_until("both engines serve version 3's jobs",
                                [&] { return engines_at_least(2) == 2; });
-  for (order_arrival const& one : orders()) CHECK(one.version >= 2);
+  for (order_arrival const& entry : orders()) CHECK(entry.version >= 2);
 }
 
 TEST(orders_test, lost_answer_of_an_order_does_not_stop_the_next_version) {
@@ -99,7 +99,7 @@
     system.store().faults().silent = false;
     return 0;
   });
-  // A watch from before the outage may be dead without showing it.
+  // A watch from before the outage may be dead without an error.
   platform_cluster::wait_until("requests are read again", [&] {
     return system.log(owner).find("Reading what operators ask for again") != std::string::npos;
   });
--- a/tests/platform/progress_copies_test.cc
+++ b/tests/platform/progress_copies_test.cc
@@ -1,4 +1,5 @@
-/// @file What an owner has done and not stored outlasts its loss together with another machine's.
+/// @file Progress that an owner has not stored yet must survive the loss of the owner and of
+/// another node.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -11,7 +12,7 @@
 namespace {
 
 constexpr std::size_t k_items = 24;
-/// Reports of progress are 0.25 s apart.
+/// Longer than the 0.25 s between progress reports.
 constexpr milliseconds k_report_wait{800};
 
 std::vector<test_item> make_items() {
@@ -22,7 +23,7 @@
   return items;
 }
 
-/// Whether the owner says that it reports to two nodes.
+/// Returns true if the owner's log says that two nodes hold copies of its progress.
 bool has_two_copies(platform_cluster& system, std::size_t owner) {
   std::string const log = system.log(owner);
   std::size_t const last = log.rfind("Nodes that hold a copy of the progress change.");
@@ -32,9 +33,8 @@
   return line.substr(names, line.find("\",", names) - names).find(',') != std::string::npos;
 }
 
-/// Has a job done while the store is out, then freezes the owner and another node, and waits
-/// until the third has listed all of it.
-/// @return how often samples have run.
+/// Runs a job during a store outage, freezes the owner and another node, and waits until the third
+/// node lists all results. @return the number of sample runs.
 std::size_t runs_with_two_frozen(std::size_t distance) {
   platform_cluster system{platform_options()};
   set_engines_full(system, true);
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -1,4 +1,5 @@
-/// @file Changes of records reach all nodes through the relays of their zones, and without them.
+/// @file Record changes must reach all nodes through the relays of their zones, and also without a
+/// relay.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -25,7 +26,7 @@
 TEST_GROUP(relay_test) {
   platform_cluster system{two_zones()};
 
-  /// Watches below a prefix that told a change.
+  /// Returns the number of watches below a prefix that were answered with changes.
   std::uint64_t answered_watches(std::string const& prefix) {
     return system.on_platform([&] { return system.store().answered_watches(prefix); });
   }
@@ -64,8 +65,8 @@
            std::to_string(version) + "\"";
   }
 
-  /// Whether a node follows the store itself though it is no relay, as it does until one answers
-  /// it.
+  /// Returns true if a node watches the store directly although it is no relay, as it does until a
+  /// relay answers it.
   bool follows_directly(std::size_t node) {
     std::string const log = system.log(node);
     std::size_t const last = log.rfind("relay: Role in passing records on changes.");
@@ -81,19 +82,22 @@
     return false;
   }
 
-  /// Waits until each zone has a relay, all other nodes are served by one, and what was followed
-  /// before has ended with a change.
+  /// Waits until each zone has a relay, all other nodes are served by one, and a change has ended
+  /// their earlier direct watches.
   void settle() {
     system.relay(0);
     system.relay(1);
     system.owner();
-    platform_cluster::wait_until("all nodes serve", [&] { return all_logs_contain("gateway: Serving."); });
+    platform_cluster::wait_until("all nodes serve",
+                                 [&] { return all_logs_contain("gateway: Serving."); });
     platform_cluster::wait_until("no node follows the store that is no relay",
                                  [&] { return !any_follows_directly(); });
     put_config(2);
-    platform_cluster::wait_until("version 2 is in force", [&] { return all_logs_contain(in_force(2)); });
+    platform_cluster::wait_until("version 2 is in force",
+                                 [&] { return all_logs_contain(in_force(2)); });
     drain(0);
-    platform_cluster::wait_until("all know of the drain", [&] { return all_logs_contain("Server drains"); });
+    platform_cluster::wait_until("all know of the drain",
+                                 [&] { return all_logs_contain("Server drains"); });
   }
 };
 
@@ -101,12 +105,14 @@
   settle();
   std::uint64_t const before = answered_watches("op/config");
   put_config(3);
-  platform_cluster::wait_until("version 3 is in force", [&] { return all_logs_contain(in_force(3)); });
-  // The owner hears of it below the operators' prefix.
+  platform_cluster::wait_until("version 3 is in force",
+                               [&] { return all_logs_contain(in_force(3)); });
+  // The owner sees the change below the operators' prefix.
   LONGS_EQUAL(before + 2, answered_watches("op/config"));
   std::uint64_t const servers_before = answered_watches("servers/");
   withdraw(0);
-  platform_cluster::wait_until("all know that it is gone", [&] { return all_logs_contain("Server gone"); });
+  platform_cluster::wait_until("all know that it is gone",
+                               [&] { return all_logs_contain("Server gone"); });
   LONGS_EQUAL(servers_before + 1, answered_watches("servers/"));
 }
 
@@ -148,9 +154,11 @@
     system.start_node(relay);
   }
   put_config(3);
-  platform_cluster::wait_until("version 3 is in force", [&] { return all_logs_contain(in_force(3)); });
+  platform_cluster::wait_until("version 3 is in force",
+                               [&] { return all_logs_contain(in_force(3)); });
   put_config(4);
-  platform_cluster::wait_until("version 4 is in force", [&] { return all_logs_contain(in_force(4)); });
+  platform_cluster::wait_until("version 4 is in force",
+                               [&] { return all_logs_contain(in_force(4)); });
 }
 
 TEST(relay_test, node_that_starts_while_the_store_is_out_serves_what_was_last_known) {
@@ -191,7 +199,7 @@
   platform_cluster::wait_until("it is waited for", [&] {
     return all_logs_contain("Server's record went with the store; waiting for it.");
   });
-  // App 0 drains since settle, so this call has nowhere else to go.
+  // App 0 has been draining since settle(), so no other server can take this call.
   auto const answer = system.call(2, http::verb::get, "/calls/one", "call-1");
   CHECK(static_cast<bool>(answer));
   LONGS_EQUAL(200, answer.value().result_int());
@@ -199,7 +207,7 @@
     system.announce(system.app(1), "ready");
     return 0;
   });
-  // The engines were not written again, so they are gone.
+  // The engines' records were not written again, so the engines are removed.
   platform_cluster::wait_until("engines are gone", [&] { return all_logs_contain("Server gone"); });
   std::string const app = "\"Server gone.\",\"server\":\"" + system.app(1).id();
   for (std::size_t node = 0; node < system.nodes(); ++node) {
--- a/tests/platform/server_records_test.cc
+++ b/tests/platform/server_records_test.cc
@@ -1,5 +1,5 @@
-/// @file Servers that start again under the identifier that they had, and records that other
-/// writers leave where servers' records and the configuration stand.
+/// @file Servers that restart under the same identifier, and foreign records below the key prefixes
+/// of the server records and the configuration.
 
 #include <CppUTest/TestHarness.h>
 
@@ -37,7 +37,8 @@
            std::to_string(version) + "\"";
   }
 
-  /// A change that all nodes hear of, after whatever was written before it.
+  /// Writes a configuration change and waits until all nodes have applied it and all earlier
+  /// writes.
   void put_config_and_wait(std::uint64_t version) {
     system.on_platform([&] {
       system.put_config(version);
@@ -49,8 +50,8 @@
 
   void call_everywhere(std::string const& name) {
     for (std::size_t node = 0; node < system.nodes(); ++node) {
-      for (int one = 0; one < 6; ++one) {
-        std::string const id = name + std::to_string(node) + "-" + std::to_string(one);
+      for (int number = 0; number < 6; ++number) {
+        std::string const id = name + std::to_string(node) + "-" + std::to_string(number);
         auto const answer = system.call(node, http::verb::get, "/calls/one", id);
         CHECK(static_cast<bool>(answer));
         LONGS_EQUAL(200, answer.value().result_int());
@@ -58,7 +59,7 @@
     }
   }
 
-  /// Ends the engine, which is back under its identifier.
+  /// Crashes the engine and waits until it is back under the same identifier.
   void restart_engine() {
     std::uint64_t const former = system.on_platform([&] {
       system.engine(0).set_keeps_id(true);
@@ -72,7 +73,7 @@
 };
 
 TEST(server_records_test, orders_to_a_restarted_engine_expect_no_previous_sequence) {
-  // Every second version: an engine goes on serving while others load the next one.
+  // Every second version: an engine keeps serving while others load the next one.
   for (std::uint64_t version = 2; version < 4; ++version) {
     system.on_platform([&] {
       system.name_version(version);
@@ -115,12 +116,13 @@
   put("servers/" + system.engine(0).id(), former);
   put_config_and_wait(2);
   CHECK_FALSE(any_log_contains("Server drains."));
-  // The new life's own word holds.
+  // The record of the new incarnation takes effect.
   system.on_platform([&] {
     system.announce(system.engine(0), "draining");
     return 0;
   });
-  platform_cluster::wait_until("all know of the drain", [&] { return all_logs_contain("Server drains."); });
+  platform_cluster::wait_until("all know of the drain",
+                               [&] { return all_logs_contain("Server drains."); });
 }
 
 TEST(server_records_test, records_of_other_writers_are_ignored) {
@@ -141,7 +143,7 @@
       "{\"service\":[\"apps\"]," + address + "\"slots\":8,\"state\":\"ready\",\"sequence\":1}");
   put_config_and_wait(2);
   call_everywhere("call-");
-  // A node that lists them all at its start passes over them, too.
+  // A node that lists all records at its start ignores them, too.
   system.node(1).kill();
   system.start_node(1);
   platform_cluster::wait_until("the node is ready", [&] { return system.is_ready(1); });
@@ -185,7 +187,7 @@
   };
   platform_cluster::wait_until("it is refused", is_refused);
   std::uint32_t const before = crashes();
-  // Two lives of each server at least: fewer than three servers have ever been there.
+  // At least two incarnations of each server: there have never been three servers.
   CHECK(before >= 3);
   platform_cluster::wait_until("all nodes refuse it",
                                [&] { return is_refused() && is_refused() && is_refused(); });
--- a/tests/platform/silent_connections_test.cc
+++ b/tests/platform/silent_connections_test.cc
@@ -1,12 +1,5 @@
-/// @file Seen: routes that an acknowledged configuration had added were refused for many seconds by
-/// all nodes of all zones, and no node wrote a warning.
-///
-/// How it comes about: open connections go silent, without a reset, while new ones work; or the
-/// store never answers a watch that waits. Each relay asks for changes in one call that waits long,
-/// and called itself sure of what it had heard for as long as the store answered other calls. So a
-/// dead watch was believed, for 31 s, by every node that asked that relay.
-///
-/// What proved it: without silence the same change is in force in time, by the same code.
+/// @file Guards against stale configuration after open connections go silent without a reset, or
+/// after the store stops answering waiting watches.
 
 #include <CppUTest/TestHarness.h>
 
@@ -19,7 +12,7 @@
 
 namespace {
 
-/// Each zone has a relay, and each relay hears of changes by a watch of its own.
+/// Each zone has its own relay, and each relay its own watch.
 platform_options three_zones() {
   platform_options options;
   options.nodes = 6;
@@ -27,11 +20,11 @@
   return options;
 }
 
-/// A machine whose connections were lost without a word counts as in touch that long after, and
-/// what was acknowledged before has to be in force then.
+/// Maximum time in which acknowledged changes must take effect on all nodes, even if connections
+/// were lost without a reset.
 constexpr seconds k_max_propagation_time{3};
-/// Longest time that a caller waits for an answer to what is served in milliseconds: a dead
-/// connection may cost it one attempt.
+/// Maximum latency of a call that servers answer within milliseconds; a dead connection may cost
+/// one attempt.
 constexpr milliseconds k_max_latency{700};
 /// The route's target latency.
 constexpr milliseconds k_target_latency{150};
@@ -67,13 +60,14 @@
            R"("service":"apps","max_attempts":3})";
   }
 
-  /// Waits until each zone has a relay, a node owns the pool, all have heard of a change, and the
-  /// watches for the next one wait at the store.
+  /// Waits until each zone has a relay, the pool has an owner, all nodes have applied a change, and
+  /// the watches for the next one are waiting at the store.
   void settle() {
     for (std::uint32_t zone = 0; zone < 3; ++zone) system.relay(zone);
     system.owner();
     on_platform([&] { system.put_config(2); });
-    platform_cluster::wait_until("version 2 is in force", [&] { return all_logs_contain(in_force(2)); });
+    platform_cluster::wait_until("version 2 is in force",
+                                 [&] { return all_logs_contain(in_force(2)); });
     platform_cluster::wait_until("watches wait", [&] {
       return system.on_platform([&] {
         store_standin& store = system.store();
@@ -85,7 +79,8 @@
 
   void add_route_and_wait() {
     on_platform([&] { system.put_config(3, route("added")); });
-    platform_cluster::wait_until("version 3 is in force", [&] { return all_logs_contain(in_force(3)); });
+    platform_cluster::wait_until("version 3 is in force",
+                                 [&] { return all_logs_contain(in_force(3)); });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       auto const answer =
           system.call(node, http::verb::get, "/added/one", "added-" + std::to_string(node));
@@ -94,7 +89,7 @@
     }
   }
 
-  /// Leaves `count` kept connections from each node to the servers of the calls.
+  /// Opens `count` keep-alive connections from each node to the application servers.
   void keep_connections(std::size_t count) {
     on_platform([&] {
       for (std::size_t app = 0; app < system.apps(); ++app) {
@@ -103,11 +98,11 @@
     });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       std::vector<std::thread> callers;
-      for (std::size_t one = 0; one < count; ++one) {
-        callers.emplace_back([this, node, one] {
+      for (std::size_t number = 0; number < count; ++number) {
+        callers.emplace_back([this, node, number] {
           auto const answer =
               system.call(node, http::verb::get, "/calls/warm",
-                          "warm-" + std::to_string(node) + "-" + std::to_string(one));
+                          "warm-" + std::to_string(node) + "-" + std::to_string(number));
           CHECK(static_cast<bool>(answer));
         });
       }
@@ -120,13 +115,14 @@
     });
   }
 
-  /// Makes calls one after the other at one node. @return how long each took.
+  /// Makes sequential calls at one node. @return the latency of each.
   std::vector<milliseconds> timed_calls(std::size_t node, std::size_t count) {
     std::vector<milliseconds> times;
-    for (std::size_t one = 0; one < count; ++one) {
+    for (std::size_t number = 0; number < count; ++number) {
       time_point const begin = boot_clock::now();
-      auto const answer = system.call(node, http::verb::get, "/calls/one",
-                                      "call-" + std::to_string(node) + "-" + std::to_string(one));
+      auto const answer =
+          system.call(node, http::verb::get, "/calls/one",
+                      "call-" + std::to_string(node) + "-" + std::to_string(number));
       CHECK(static_cast<bool>(answer));
       LONGS_EQUAL(200, answer.value().result_int());
       times.push_back(milliseconds(milliseconds_since(begin)));
@@ -184,7 +180,8 @@
     CHECK(system.store().stall_watches() > 0);
     system.announce(system.app(0), "draining");
   });
-  platform_cluster::wait_until("all know of the drain", [&] { return all_logs_contain("Server drains"); });
+  platform_cluster::wait_until("all know of the drain",
+                               [&] { return all_logs_contain("Server drains"); });
   CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
@@ -206,12 +203,12 @@
   settle();
   keep_connections(8);
   CHECK(system.silence_connections(connected_part::servers) > 0);
-  // One attempt a server may meet a dead connection; the next one knows.
+  // One attempt per server may hit a dead connection; later attempts avoid it.
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     auto const times = timed_calls(node, 12);
     CHECK(*std::max_element(times.begin(), times.end()) < k_max_latency);
     auto const late = std::count_if(times.begin(), times.end(),
-                                    [](milliseconds one) { return one > k_target_latency; });
+                                    [](milliseconds time) { return time > k_target_latency; });
     CHECK(static_cast<std::size_t>(late) <= system.apps());
   }
 }
--- a/tests/platform/soak_checker_test.cc
+++ b/tests/platform/soak_checker_test.cc
@@ -1,4 +1,4 @@
-/// @file The soak's checker sees each invariant that is broken, and nothing where none is.
+/// @file The soak checker must report each kind of violation, and none for correct records.
 
 #include "soak_checker.h"
 
@@ -51,11 +51,11 @@
   }
 
   void add_arrival(std::string const& server, std::string const& request, time_point at) {
-    arrival one;
-    one.request = request;
-    one.ran = true;
-    one.at = at;
-    seen.arrivals[server].push_back(one);
+    arrival entry;
+    entry.request = request;
+    entry.ran = true;
+    entry.at = at;
+    seen.arrivals[server].push_back(entry);
   }
 
   void add_read(std::vector<std::string> const& ids) {
@@ -66,22 +66,22 @@
   }
 
   void add_order(std::string const& holder, std::uint64_t fence, time_point at) {
-    order_arrival one;
-    one.holder = holder;
-    one.fence = fence;
-    one.at = at;
-    seen.orders["engine"].push_back(one);
+    order_arrival entry;
+    entry.holder = holder;
+    entry.fence = fence;
+    entry.at = at;
+    seen.orders["engine"].push_back(entry);
   }
 
   boost::json::object& last_result(std::size_t place) {
     return seen.reads.back().results[place].as_object();
   }
 
-  void check_breaks(std::string const& invariant) {
+  void check_reports(std::string const& invariant) {
     soak_counts counts;
-    auto const broken = check_soak(seen, counts);
+    auto const violations = check_soak(seen, counts);
     bool found = false;
-    for (auto const& one : broken) found = found || one.invariant == invariant;
+    for (auto const& violation : violations) found = found || violation.invariant == invariant;
     CHECK_TEXT(found, invariant.c_str());
   }
 };
@@ -97,54 +97,54 @@
 
 TEST(soak_checker_test, request_that_ran_twice) {
   add_arrival("other", "c", now);
-  check_breaks("at most once");
+  check_reports("at most once");
 }
 
 TEST(soak_checker_test, refused_request_that_ran) {
   seen.calls.back().status = 503;
-  check_breaks("refused is not run");
+  check_reports("refused is not run");
 }
 
 TEST(soak_checker_test, answer_to_another_request) {
   seen.calls.back().body = "answer to d of app";
-  check_breaks("whole own answer");
+  check_reports("whole own answer");
 }
 
 TEST(soak_checker_test, position_that_changed) {
   seen.reads.front().results[0] = make_result("b");
-  check_breaks("positions fixed");
+  check_reports("positions fixed");
 }
 
 TEST(soak_checker_test, item_at_two_positions) {
   seen.reads.back().results[1] = make_result("a");
-  check_breaks("one position for an item");
+  check_reports("one position for an item");
 }
 
 TEST(soak_checker_test, text_that_lacks_an_event) {
   last_result(0)["text"] = "a.0";
-  check_breaks("text is whole");
+  check_reports("text is whole");
 }
 
 TEST(soak_checker_test, score_of_another_sample) {
   last_result(0)["score"] = "stamp-score-b";
-  check_breaks("score is its own scorer's");
+  check_reports("score is its own scorer's");
 }
 
 TEST(soak_checker_test, version_older_than_allowed) {
   last_result(0)["versions"].as_array()[0] = std::uint64_t{1};
-  check_breaks("versions true");
+  check_reports("versions true");
 }
 
 TEST(soak_checker_test, accepted_job_that_is_not_listed_whole) {
   seen.reads.pop_back();
-  check_breaks("nothing acknowledged lost");
+  check_reports("nothing acknowledged lost");
 }
 
 TEST(soak_checker_test, item_that_is_sent_long_after_its_jobs_end) {
   seen.jobs.back().ended = true;
   seen.jobs.back().ended_at = now;
   add_arrival("engine", "a", now + seconds(4));
-  check_breaks("an ended job sends nothing");
+  check_reports("an ended job sends nothing");
 }
 
 TEST(soak_checker_test, holders_that_take_turns) {
@@ -153,12 +153,12 @@
   soak_counts counts;
   LONGS_EQUAL(0, check_soak(seen, counts).size());
   seen.orders["engine"].back().at = now + milliseconds(299);
-  check_breaks("holders do not take turns");
+  check_reports("holders do not take turns");
 }
 
 TEST(soak_checker_test, fence_that_falls) {
   seen.orders["engine"].back().fence = 0;
-  check_breaks("fences rise");
+  check_reports("fences rise");
 }
 
 TEST(soak_checker_test, key_or_another_tenant_at_a_server) {
@@ -169,11 +169,11 @@
   LONGS_EQUAL(0, check_soak(seen, counts).size());
   LONGS_EQUAL(1, counts.tenants);
   seen.arrivals["app"].front().authorization = "Bearer key";
-  check_breaks("no key at a server");
+  check_reports("no key at a server");
   seen.arrivals["app"].front().tenant = "first";
-  check_breaks("tenant is its key's");
+  check_reports("tenant is its key's");
   seen.calls.front().tenant = "";
-  check_breaks("no request of an unknown key");
+  check_reports("no request of an unknown key");
 }
 
 TEST(soak_checker_test, usage_beyond_what_was_asked_and_reports_that_differ) {
@@ -182,7 +182,7 @@
   soak_counts counts;
   LONGS_EQUAL(0, check_soak(seen, counts).size());
   seen.reported["first"] = 2;
-  check_breaks("no more usage than requests");
+  check_reports("no more usage than requests");
   seen.duty_violations = {"window 7 by node-1: another report"};
-  check_breaks("one reporter");
+  check_reports("one reporter");
 }
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -1,20 +1,5 @@
-/// @file Servers that end, and start again, while the node that waits for them is suspended.
-///
-/// What happens: a call that ends its server is under way when its node's machine is suspended. The
-/// server ends and is back before the machine wakes. The node finds the connection broken, or its
-/// caller gone, looks at the server's address, finds somebody listening, and takes the connection
-/// for one that was cut. The crash is not counted, and the request ends servers as often as the
-/// nodes sleep.
-///
-/// Why: a look at an address tells whether a process listens there, not whether it is the one that
-/// had the request.
-///
-/// What showed it: soak seed 231, two crashes of which fell into a suspension of all nodes, and
-/// these tests: before the mend the nodes write "Server looked at after connections broke." with
-/// condition "lives" and no "Server ended under a request." for the first three crashes.
-///
-/// Since: such a run stays undecided until the directory tells, soon after the look, that another
-/// life has taken the server's place (quarantine/undecided_runs).
+/// @file Guards against uncounted crashes when a server crashes and restarts while the calling node
+/// is suspended: a listening process may be a new incarnation of the server.
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,12 +14,12 @@
 
 constexpr char k_poison_text[] = "deadly";
 constexpr milliseconds k_read_timeout{800};
-/// From the call's arrival to its server's end: the node sleeps by then.
+/// Time from the call's arrival to the crash; the node is suspended by then.
 constexpr milliseconds k_crash_after{150};
-/// The caller leaves in the node's sleep, or is still there when it wakes.
+/// The caller disconnects during the node's suspension, or still waits when it resumes.
 constexpr milliseconds k_short_read_timeout{250};
 constexpr milliseconds k_long_read_timeout{4000};
-/// From this long after the third crash on, only few retries may reach a server.
+/// Time after the third crash from which on only a few retries may reach a server.
 constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
@@ -91,7 +76,7 @@
     });
   }
 
-  /// A server ends under a call of a node that sleeps, and is back before it wakes.
+  /// Lets a server crash under a call of a suspended node and restart before the node resumes.
   void crash_server_while_suspended(std::size_t node, milliseconds read_timeout) {
     std::size_t const before = crashes();
     std::string const id = "slept-" + std::to_string(before);
@@ -116,7 +101,7 @@
     }
   }
 
-  /// @return servers that ended when the request came again, long after the third crash.
+  /// Repeats the request after the quarantine takes effect. @return number of further crashes.
   std::size_t late_crashes() {
     time_point const bound = boot_clock::now() + k_propagation_time;
     platform_cluster::wait_until("the bound holds", [&] { return boot_clock::now() > bound; });
@@ -124,7 +109,7 @@
     for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       std::size_t const node = number % system.nodes();
       wait_for_service(node);
-      // What it is answered is judged by what reaches the servers.
+      // The answer is ignored: the test counts arrivals at the servers.
       static_cast<void>(system.call(node, http::verb::post, "/once/x",
                                     "late-" + std::to_string(number), k_poison_text,
                                     k_read_timeout));
--- a/tests/platform/suspended_node_test.cc
+++ b/tests/platform/suspended_node_test.cc
@@ -1,4 +1,5 @@
-/// @file A node whose machine was suspended: the time has passed for everybody else.
+/// @file Calls on a node whose machine was suspended must be answered by their deadline, or soon
+/// after the node resumes.
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,15 +12,15 @@
 
 namespace {
 
-/// The routes' time for a call, of the stand-ins' configuration.
+/// Call timeout of the routes in the stand-ins' configuration.
 constexpr milliseconds k_route_timeout{2000};
-/// The call's time ends in this sleep, and a little after that one.
+/// The call's deadline passes during the long suspension, and shortly after the short one.
 constexpr milliseconds k_long_suspension{2200};
 constexpr milliseconds k_short_suspension{1700};
-/// From the end of the call's time, or the machine's return, to the answer: a node looks at its
-/// clock four times a second.
+/// Maximum time from the deadline, or from the resume, to the answer; a node checks its clock four
+/// times a second.
 constexpr milliseconds k_max_answer_delay{800};
-/// How long the client reads on, so that it sees when an answer comes.
+/// Longer than the call's deadline, so that the client sees when the answer arrives.
 constexpr milliseconds k_read_timeout{8000};
 
 platform_options with_suspension() {
@@ -45,18 +46,18 @@
   bool has_arrived(std::string const& request) {
     return system.on_platform([&] {
       for (std::size_t index = 0; index < system.apps(); ++index) {
-        for (arrival const& one : system.app(index).arrivals()) {
-          if (one.request == request) return true;
+        for (arrival const& entry : system.app(index).arrivals()) {
+          if (entry.request == request) return true;
         }
       }
       return false;
     });
   }
 
-  /// Suspends a node while servers hold a call of it.
-  /// @return the answer's status, and how long after its time, or the node's return, it came.
+  /// Suspends a node while servers are processing one of its calls.
+  /// @return the answer's status, and its delay after the deadline or the resume.
   std::pair<unsigned, milliseconds> call_across_suspension(std::string const& path,
-                                                       milliseconds duration) {
+                                                           milliseconds duration) {
     silence_apps();
     time_point const begin = boot_clock::now();
     auto answer = std::async(std::launch::async, [&] {
--- a/tests/platform/tenants_test.cc
+++ b/tests/platform/tenants_test.cc
@@ -1,5 +1,5 @@
-/// @file Keys and tenants before real gateway processes: who is served, what servers see, whose a
-/// job is.
+/// @file API keys and tenants with real gateway processes: authentication, the headers that servers
+/// see and the ownership of jobs.
 
 #include <CppUTest/TestHarness.h>
 
@@ -82,7 +82,7 @@
   LONGS_EQUAL(2, calls.size());
   STRCMP_EQUAL("second", calls[0].tenant.c_str());
   STRCMP_EQUAL("", calls[1].tenant.c_str());
-  for (arrival const& one : calls) STRCMP_EQUAL("", one.authorization.c_str());
+  for (arrival const& entry : calls) STRCMP_EQUAL("", entry.authorization.c_str());
   auto const streams = arrivals_at(true);
   LONGS_EQUAL(1, streams.size());
   STRCMP_EQUAL("second", streams[0].tenant.c_str());
@@ -105,11 +105,11 @@
   LONGS_EQUAL(400, system.submit(0, "job-1", {item}));
   system.use_key("key-b");
   LONGS_EQUAL(200, system.end_job(2, "job-1"));
-  for (arrival const& one : arrivals_at(true)) {
-    STRCMP_EQUAL("first", one.tenant.c_str());
-    STRCMP_EQUAL("", one.authorization.c_str());
+  for (arrival const& entry : arrivals_at(true)) {
+    STRCMP_EQUAL("first", entry.tenant.c_str());
+    STRCMP_EQUAL("", entry.authorization.c_str());
   }
-  for (arrival const& one : arrivals_at(false)) STRCMP_EQUAL("", one.tenant.c_str());
+  for (arrival const& entry : arrivals_at(false)) STRCMP_EQUAL("", entry.tenant.c_str());
 }
 
 TEST(tenants_test, ended_job_of_a_killed_owner_still_belongs_to_its_tenant) {
@@ -151,7 +151,7 @@
     platform_cluster::wait_until("the new key is served", [&] {
       return status_of(node, "/calls/a", "after-" + std::to_string(++number)) == 200;
     });
-    // The job outlives the key with which it was handed in.
+    // The job outlives the API key with which it was submitted.
     system.wait_for_results(node, "job-1", 1);
   }
 }
--- a/tests/platform/usage_test.cc
+++ b/tests/platform/usage_test.cc
@@ -1,5 +1,5 @@
-/// @file Reports of usage before real gateway processes: each window once, by one node at a time,
-/// with every request that a server began to run.
+/// @file Usage reports of real gateway processes: each window is reported once, by one node at a
+/// time, and includes every request that a server started to run.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Two holders' calls must keep this distance (orders.gap_ms of the cluster).
+/// Minimum time between calls of two holders (orders.gap_ms of the cluster).
 constexpr milliseconds k_min_holder_gap{300};
 
 platform_options with_usage() {
@@ -28,7 +28,7 @@
   platform_cluster system{with_usage()};
   std::uint64_t sent = 0;
 
-  /// One request of the first tenant; it is counted here when a server has answered it.
+  /// Sends one request of the first tenant and counts it in `sent` if a server answers it.
   void send(std::size_t node) {
     system.use_key("key-a");
     std::string const id = "usage-" + std::to_string(sent);
@@ -50,8 +50,9 @@
   }
 
   void check_no_violations() {
-    auto const found = system.on_platform([&] { return system.duties().violations(k_min_holder_gap); });
-    for (std::string const& one : found) FAIL(one.c_str());
+    auto const found =
+        system.on_platform([&] { return system.duties().violations(k_min_holder_gap); });
+    for (std::string const& violation : found) FAIL(violation.c_str());
   }
 
   void set_faults(std::function<void(duty_faults&)> change) {
