--- a/tests/platform/calls_test.cc
+++ b/tests/platform/calls_test.cc
@@ -265,14 +265,16 @@
 
 TEST(calls_test, settings_are_read_again_on_request) {
   system.node(1).send_signal(SIGHUP);
-  platform_cluster::wait_until(
-      "it says so", [&] { return system.log(1).find("Settings reloaded") != std::string::npos; });
+  platform_cluster::wait_until("the log says that settings were reloaded", [&] {
+    return system.log(1).find("Settings reloaded") != std::string::npos;
+  });
   LONGS_EQUAL(200, system.call(1, http::verb::get, "/calls/x", "after").value().result_int());
 }
 
 TEST(calls_test, settings_are_read_again_when_their_file_changes) {
   system.touch_settings(1);
-  platform_cluster::wait_until(
-      "it says so", [&] { return system.log(1).find("Settings reloaded") != std::string::npos; });
+  platform_cluster::wait_until("the log says that settings were reloaded", [&] {
+    return system.log(1).find("Settings reloaded") != std::string::npos;
+  });
   LONGS_EQUAL(200, system.call(1, http::verb::get, "/calls/x", "after").value().result_int());
 }
--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -79,7 +79,7 @@
         std::count_if(times.begin(), times.end(), [&](time_point at) { return at > bound; }));
   }
 
-  bool is_bound_in_force() {
+  bool is_quarantine_due() {
     auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
            boot_clock::now() > times[k_crashes_allowed - 1] + k_propagation_time;
@@ -96,7 +96,7 @@
 
   /// Waits until the next node serves other requests on this path.
   void wait_for_service(std::string const& path) {
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer =
           system.call(next_try % system.nodes(), http::verb::post, path,
                       "other-" + std::to_string(next_other++), "harmless", k_read_timeout);
@@ -109,7 +109,7 @@
   void keep_trying(std::string const& path) {
     platform_cluster::wait_until("three servers have ended long enough ago", [&] {
       try_poison_request(path);
-      return is_bound_in_force();
+      return is_quarantine_due();
     });
     for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       wait_for_service(path);
@@ -169,7 +169,7 @@
   LONGS_EQUAL(202, system.submit(0, "job", items));
   auto const listed = system.wait_for_results(1, "job", 11);
   LONGS_EQUAL(11, completed(listed).size());
-  platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
+  platform_cluster::wait_until("the quarantine is in effect", [&] { return is_quarantine_due(); });
   std::size_t const then = late_arrivals();
   // The same sample in a later job is the same request.
   LONGS_EQUAL(202, system.submit(1, "again", {items[3], {"fresh", "group-f"}}));
@@ -195,7 +195,7 @@
   LONGS_EQUAL(202, system.submit(0, "job", items));
   auto const listed = system.wait_for_results(1, "job", 11);
   LONGS_EQUAL(11, completed(listed).size());
-  platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
+  platform_cluster::wait_until("the quarantine is in effect", [&] { return is_quarantine_due(); });
   for (std::size_t number = 0; number < 4; ++number) {
     std::string const job = "later-" + std::to_string(number);
     LONGS_EQUAL(202, system.submit(number % 3, job, make_items(job, 4)));
@@ -292,7 +292,7 @@
     return 0;
   });
   time_point const back = boot_clock::now();
-  platform_cluster::wait_until("the bound holds", [&] {
+  platform_cluster::wait_until("the quarantine is in effect", [&] {
     try_poison_request("/calls/x");
     return boot_clock::now() > back + k_propagation_time;
   });
@@ -315,10 +315,10 @@
     return 0;
   });
   // The relays collect the evidence but see no answers to the request.
-  std::vector<std::size_t> callers_nodes;
+  std::vector<std::size_t> caller_nodes;
   std::set<std::size_t> const relays = {wide.relay(0), wide.relay(1), wide.relay(2)};
   for (std::size_t node = 0; node < wide.nodes(); ++node) {
-    if (!relays.contains(node)) callers_nodes.push_back(node);
+    if (!relays.contains(node)) caller_nodes.push_back(node);
   }
   std::atomic<bool> stop = false;
   std::atomic<int> refused = 0;
@@ -328,8 +328,8 @@
     callers.emplace_back([&, number] {
       for (int call = 0; !stop; ++call) {
         auto const id = "popular-" + std::to_string(number) + "-" + std::to_string(call);
-        auto const answer = wide.call(callers_nodes[number % callers_nodes.size()],
-                                      http::verb::post, "/calls/x", id, "popular", k_read_timeout);
+        auto const answer = wide.call(caller_nodes[number % caller_nodes.size()], http::verb::post,
+                                      "/calls/x", id, "popular", k_read_timeout);
         if (!answer) continue;
         if (answer.value().result_int() == 200) ++served;
         if (answer.value().body().find("quarantined") != std::string::npos) ++refused;
@@ -421,7 +421,7 @@
     return 0;
   });
   for (int number = 0; number < 8; ++number) try_poison_request("/calls/x");
-  platform_cluster::wait_until("the servers were looked at", [&] {
+  platform_cluster::wait_until("the servers were checked", [&] {
     return system.log(0).find("\"condition\":\"lives\"") != std::string::npos;
   });
   system.on_platform([&] {
--- a/tests/platform/cut_runs_test.cc
+++ b/tests/platform/cut_runs_test.cc
@@ -50,7 +50,7 @@
     });
   }
 
-  bool is_bound_in_force() {
+  bool is_quarantine_due() {
     auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
            boot_clock::now() > times[k_crashes_allowed - 1] + k_propagation_time;
@@ -84,7 +84,7 @@
       bool const over = times.empty() || boot_clock::now() > times.back() + 2 * crash_after;
       return over && !is_any_server_down();
     });
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer =
           system.call(next_try % system.nodes(), http::verb::post, path,
                       "other-" + std::to_string(next_other++), "harmless", k_read_timeout);
@@ -112,7 +112,7 @@
     platform_cluster::wait_until("three servers have ended long enough ago", [&] {
       wait_for_service(path);
       try_once();
-      return is_bound_in_force();
+      return is_quarantine_due();
     });
     for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       wait_for_service(path);
@@ -151,7 +151,7 @@
   item.scorer_path = "/open/score";
   item.scorer_body = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", {item}));
-  platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
+  platform_cluster::wait_until("the quarantine is in effect", [&] { return is_quarantine_due(); });
   time_point const observed = boot_clock::now() + k_propagation_time;
   platform_cluster::wait_until("more tries would have come",
                                [&] { return boot_clock::now() > observed; });
@@ -163,7 +163,7 @@
   test_item item{"sampled", "group"};
   item.prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", {item}));
-  platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
+  platform_cluster::wait_until("the quarantine is in effect", [&] { return is_quarantine_due(); });
   // Without the quarantine another run would start every 2.5 s.
   LONGS_EQUAL(202, system.submit(1, "again", {item}));
   LONGS_EQUAL(202, system.submit(2, "once-more", {item}));
--- a/tests/platform/jobs_test.cc
+++ b/tests/platform/jobs_test.cc
@@ -371,10 +371,10 @@
     system.wait_for_results(0, job, 2);
     LONGS_EQUAL(200, system.end_job(0, job));
   }
-  std::size_t const former = system.owner();
-  system.node(former).kill();
+  std::size_t const previous_owner = system.owner();
+  system.node(previous_owner).kill();
   for (std::size_t node = 0; node < system.nodes(); ++node) {
-    if (node == former) continue;
+    if (node == previous_owner) continue;
     for (std::string const& job : jobs) {
       system.wait_for_results(node, job, 2);
       // Twice: answered from the end marker first, then from the job's data once it is loaded.
--- a/tests/platform/lost_crash_records_test.cc
+++ b/tests/platform/lost_crash_records_test.cc
@@ -53,7 +53,7 @@
 
   void wait_for_service(std::size_t node) {
     platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
                                       "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
@@ -67,7 +67,7 @@
   }
 
   void wait_for_propagation(time_point third) {
-    platform_cluster::wait_until("the bound holds",
+    platform_cluster::wait_until("the quarantine is in effect",
                                  [&] { return boot_clock::now() > third + k_propagation_time; });
   }
 
--- a/tests/platform/lost_evidence_test.cc
+++ b/tests/platform/lost_evidence_test.cc
@@ -42,7 +42,7 @@
   }
 
   void wait_for_service(std::size_t node) {
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
                                       "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
@@ -59,7 +59,7 @@
   LONGS_EQUAL(3, crashes());
   for (std::size_t node = 0; node < system.nodes(); ++node) system.start_node(node);
   for (std::size_t node = 0; node < system.nodes(); ++node) wait_for_service(node);
-  platform_cluster::wait_until("the bound holds",
+  platform_cluster::wait_until("the quarantine is in effect",
                                [&] { return boot_clock::now() > third + k_propagation_time; });
   for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     std::size_t const node = number % system.nodes();
--- a/tests/platform/server_records_test.cc
+++ b/tests/platform/server_records_test.cc
@@ -61,13 +61,13 @@
 
   /// Crashes the engine and waits until it is back under the same identifier.
   void restart_engine() {
-    std::uint64_t const former = system.on_platform([&] {
+    std::uint64_t const previous_start = system.on_platform([&] {
       system.engine(0).set_keeps_id(true);
       system.engine(0).crash();
       return system.engine(0).born();
     });
     platform_cluster::wait_until("the engine is back", [&] {
-      return system.on_platform([&] { return system.engine(0).born() != former; });
+      return system.on_platform([&] { return system.engine(0).born() != previous_start; });
     });
   }
 };
@@ -105,15 +105,15 @@
 
 TEST(server_records_test, all_nodes_distinguish_incarnations_of_a_server) {
   restart_engine();
-  platform_cluster::wait_until("all know of the new life",
+  platform_cluster::wait_until("all know of the new incarnation",
                                [&] { return all_logs_contain("Server started again."); });
 }
 
 TEST(server_records_test, late_record_of_a_previous_incarnation_is_ignored) {
-  std::string const former =
+  std::string const previous_record =
       system.on_platform([&] { return system.engine(0).record("draining"); });
   restart_engine();
-  put("servers/" + system.engine(0).id(), former);
+  put("servers/" + system.engine(0).id(), previous_record);
   put_config_and_wait(2);
   CHECK_FALSE(any_log_contains("Server drains."));
   // The record of the new incarnation takes effect.
--- a/tests/platform/silent_connections_test.cc
+++ b/tests/platform/silent_connections_test.cc
@@ -223,7 +223,7 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::all) > 0);
   for (std::size_t node = 0; node < system.nodes(); ++node) {
-    platform_cluster::wait_until("the results are told",
+    platform_cluster::wait_until("the results are listed",
                                  [&] { return system.results_status(node, "job-1") == 200; });
   }
   CHECK(boot_clock::now() - begin < k_max_propagation_time);
--- a/tests/platform/soak_checker_test.cc
+++ b/tests/platform/soak_checker_test.cc
@@ -81,7 +81,7 @@
     soak_counts counts;
     auto const violations = check_soak(seen, counts);
     bool found = false;
-    for (auto const& violation : violations) found = found || violation.invariant == invariant;
+    for (auto const& entry : violations) found = found || entry.invariant == invariant;
     CHECK_TEXT(found, invariant.c_str());
   }
 };
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -69,7 +69,7 @@
   }
 
   void wait_for_service(std::size_t node) {
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
                                       "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
@@ -104,7 +104,8 @@
   /// Repeats the request after the quarantine takes effect. @return number of further crashes.
   std::size_t late_crashes() {
     time_point const bound = boot_clock::now() + k_propagation_time;
-    platform_cluster::wait_until("the bound holds", [&] { return boot_clock::now() > bound; });
+    platform_cluster::wait_until("the quarantine is in effect",
+                                 [&] { return boot_clock::now() > bound; });
     std::size_t const before = crashes();
     for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       std::size_t const node = number % system.nodes();
--- a/tests/platform/suspended_node_test.cc
+++ b/tests/platform/suspended_node_test.cc
@@ -65,7 +65,7 @@
     });
     platform_cluster::wait_until("the call is at a server", [&] { return has_arrived("slept"); });
     system.suspend(0);
-    platform_cluster::wait_until("the machine has slept long enough",
+    platform_cluster::wait_until("the machine has been suspended long enough",
                                  [&] { return boot_clock::now() >= begin + duration; });
     system.wake(0);
     time_point const due = std::max(boot_clock::now(), begin + k_route_timeout);
--- a/tests/platform/tenants_test.cc
+++ b/tests/platform/tenants_test.cc
@@ -119,9 +119,9 @@
   LONGS_EQUAL(202, system.submit(0, "job-1", {item}));
   system.wait_for_results(0, "job-1", 1);
   LONGS_EQUAL(200, system.end_job(0, "job-1"));
-  std::size_t const former = system.owner();
-  system.node(former).kill();
-  std::size_t const other = (former + 1) % system.nodes();
+  std::size_t const previous_owner = system.owner();
+  system.node(previous_owner).kill();
+  std::size_t const other = (previous_owner + 1) % system.nodes();
   system.use_key("key-c");
   platform_cluster::wait_until("another node owns the pool and refuses the other tenant",
                                [&] { return system.end_job(other, "job-1") == 404; });
--- a/tests/platform_standin/platform_cluster.cc
+++ b/tests/platform_standin/platform_cluster.cc
@@ -95,8 +95,8 @@
     server_standin* const made = kind.back().get();
     announce(*made, "ready");
     made->on_version([this, made] { announce(*made, "ready"); });
-    made->on_restart([this, made](std::string const& former) {
-      if (former != made->id()) store_->remove("servers/" + former);
+    made->on_restart([this, made](std::string const& previous_id) {
+      if (previous_id != made->id()) store_->remove("servers/" + previous_id);
       announce(*made, "ready");
     });
   }
@@ -231,9 +231,9 @@
 void platform_cluster::wake(std::size_t index) {
   auto const suspended = suspended_at_.extract(index);
   if (suspended.empty()) return;
-  auto const slept =
+  auto const duration =
       std::chrono::duration_cast<milliseconds>(boot_clock::now() - suspended.mapped());
-  nodes_.at(index)->resume_from_suspension(static_cast<int>(slept.count()));
+  nodes_.at(index)->resume_from_suspension(static_cast<int>(duration.count()));
 }
 
 bool platform_cluster::is_ready(std::size_t index) {
--- a/tests/support/suspended_process.cc
+++ b/tests/support/suspended_process.cc
@@ -20,7 +20,7 @@
   suspended_ns += what->si_value.sival_int * k_millisecond_ns;
 }
 
-[[gnu::constructor]] void listen() {
+[[gnu::constructor]] void install_handler() {
   struct sigaction action {};
   action.sa_sigaction = note_suspension;
   action.sa_flags = SA_SIGINFO | SA_RESTART;
