--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -27,7 +27,7 @@
 constexpr std::size_t k_tries_after_bound = 12;
 constexpr milliseconds k_read_timeout{800};
 /// Maximum number of calls that each concurrent caller repeats at the end.
-constexpr int k_bystander_retries = 12;
+constexpr int k_repeated_calls_per_caller = 12;
 
 std::vector<test_item> make_items(std::string const& job, std::size_t count) {
   std::vector<test_item> items;
@@ -388,7 +388,7 @@
           if (answer && answer.value().result_int() == 200) break;
         }
         ++served;
-        if (call < k_bystander_retries) served_by[number] = call;
+        if (call < k_repeated_calls_per_caller) served_by[number] = call;
       }
     });
   }
--- a/tests/platform_standin/soak_checker.h
+++ b/tests/platform_standin/soak_checker.h
@@ -44,7 +44,7 @@
   std::vector<call_record> calls;
   std::vector<read_record> reads;
   std::vector<job_record> jobs;
-  /// Arrivals, and below orders, by server.
+  /// Arrivals and orders by server.
   std::map<std::string, std::vector<arrival>> arrivals;
   std::map<std::string, std::vector<order_arrival>> orders;
   std::uint32_t events = 0;
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -12,7 +12,7 @@
   /// While set, calls fail as unavailable, including those in flight.
   void set_cut(bool cut) { cut_ = cut; }
   /// While set, watches time out without an answer, including those in flight; other calls succeed.
-  void set_watches_silent(bool deaf) { watches_silent_ = deaf; }
+  void set_watches_silent(bool silent) { watches_silent_ = silent; }
   std::uint64_t lists() const { return lists_; }
   /// Number of list calls for the prefix "servers/".
   std::uint64_t server_lists() const { return server_lists_; }
