--- a/rehearsal/measure_data.cc
+++ b/rehearsal/measure_data.cc
@@ -53,7 +53,7 @@
   system.put_task("main", 1, 64, 1);
   system.publish("main", 1);
   testing::test_trainer trainer(system, "main");
-  trainer.ask = {0, 1};
+  trainer.nodes_to_pull = {0, 1};
   // Enough samples that every slot stays taken through the window.
   trainer.submit(0, 300 * engines, 8, 2000);
   cluster::wait_until("tokens flow", [&] { return tokens_in_journals(system, engines) > 1000; });
@@ -82,7 +82,7 @@
   std::uint32_t const owner = testing::wait_for_owner(system, "main", 0, 0);
   pid_t const process = system.process(cluster::node_name(owner)).pid();
   testing::test_trainer trainer(system, "main");
-  trainer.ask = {0, 1};
+  trainer.nodes_to_pull = {0, 1};
   double const before = testing::resident_mib(process);
   constexpr std::uint32_t k_group_size = 8;
   constexpr std::uint32_t k_groups_a_call = 128;
--- a/rehearsal/soak_faults.cc
+++ b/rehearsal/soak_faults.cc
@@ -71,7 +71,7 @@
 }
 
 void soak_faults::follow_stop(std::size_t node) {
-  system_.wake(node);
+  system_.resume(node);
   system_.node(node).send_signal(SIGCONT);
   system_.node(node).wait(15);
   restart(node);
@@ -101,7 +101,7 @@
     if (on) {
       system_.suspend(node_of(target));
     } else {
-      system_.wake(node_of(target));
+      system_.resume(node_of(target));
     }
   });
   add("suspend_owner", [this](bool on, std::size_t target) {
@@ -110,7 +110,7 @@
       system_.suspend(suspended_owner_);
       name_next();
     } else {
-      system_.wake(suspended_owner_);
+      system_.resume(suspended_owner_);
     }
   });
   add("hand_over", [this](bool on, std::size_t target) {
@@ -145,7 +145,7 @@
       if (on) {
         system_.suspend(node);
       } else {
-        system_.wake(node);
+        system_.resume(node);
       }
     }
   });
--- a/tests/integration/exactly_once_test.cc
+++ b/tests/integration/exactly_once_test.cc
@@ -50,7 +50,7 @@
   auto const third = trainer.pull(2);
   STRCMP_EQUAL(again.value().batch->identity.c_str(), third.value().batch->identity.c_str());
   LONGS_EQUAL(1, third.value().batch->number);
-  trainer.keep(third.value());
+  trainer.make_durable(third.value());
   trainer.pull_until(16);
   check_all_once(16);
 }
--- a/tests/integration/freshness_test.cc
+++ b/tests/integration/freshness_test.cc
@@ -30,19 +30,19 @@
 
 TEST(freshness_test, versions_published_while_batches_are_committed) {
   std::atomic<bool> done{false};
-  std::atomic<std::size_t> kept{0};
+  std::atomic<std::size_t> durable_count{0};
   std::thread publisher([&] {
     rpc::blocking_client client;
     std::uint64_t version = 2;
     std::size_t published_at = 0;
     while (!done) {
       // As fast as delivery goes on: faster, and no sample could be within its bound.
-      bool const due = kept >= published_at + 4;
+      bool const due = durable_count >= published_at + 4;
       if (!due) {
         pause_before_retry();
         continue;
       }
-      published_at = kept;
+      published_at = durable_count;
       rpc::PublishVersionRequestT request;
       request.task = "main";
       request.version = version;
@@ -54,7 +54,7 @@
   trainer.submit(0, 32, 4, 32);
   for (std::size_t wanted = 4; wanted <= 128; wanted += 4) {
     trainer.pull_until(wanted);
-    kept = trainer.kept();
+    durable_count = trainer.durable_count();
   }
   done = true;
   publisher.join();
@@ -74,7 +74,7 @@
     request.max_wait_ms = 5000;
     auto const answer = client.call<rpc::PullBatchRequestT, rpc::PullBatchResponseT>(
         system.node(owner), "TrainerService", "PullBatch", request, milliseconds(10'000));
-    if (answer) trainer.keep(answer.value());
+    if (answer) trainer.make_durable(answer.value());
   });
   system.wait_for_delayed_write("the commit is on its way");
   system.publish("main", 2, (owner + 1) % 3);
@@ -99,7 +99,7 @@
   CHECK(first.value().batch->identity != again.value().batch->identity);
   auto const stale_cursor = trainer.pull_at(1, first.value().batch->identity, 2);
   CHECK(stale_cursor.error().why == rpc::reason::superseded);
-  trainer.keep(again.value());
+  trainer.make_durable(again.value());
   trainer.pull_until(8);
   check_good(8);
 }
@@ -113,7 +113,7 @@
   system.publish("main", 3, (owner + 1) % 3);
   system.process(cluster::node_name(owner)).send_signal(SIGCONT);
   auto const answer = trainer.pull(owner, milliseconds(2000), true);
-  if (answer) trainer.keep(answer.value());
+  if (answer) trainer.make_durable(answer.value());
   trainer.pull_until(8);
   check_good(8);
 }
--- a/tests/integration/late_commit_test.cc
+++ b/tests/integration/late_commit_test.cc
@@ -44,7 +44,7 @@
         system.node(owner), "TrainerService", "PullBatch", request, milliseconds(10'000));
     if (!answer || !answer.value().batch) return;
     handed_out = answer.value().batch->samples.size();
-    trainer.keep(answer.value());
+    trainer.make_durable(answer.value());
   });
   system.wait_for_delayed_write("the commit has taken effect");
   system.publish("main", 2, (owner + 1) % 3);
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -90,7 +90,7 @@
     platform_cluster::wait_until("its server is back", [&] {
       return crashes() > before && are_servers_up() && boot_clock::now() > caller_left;
     });
-    system.wake(node);
+    system.resume(node);
     call.wait();
     wait_for_service(node);
   }
--- a/tests/platform/suspended_node_test.cc
+++ b/tests/platform/suspended_node_test.cc
@@ -67,7 +67,7 @@
     system.suspend(0);
     platform_cluster::wait_until("the machine has been suspended long enough",
                                  [&] { return boot_clock::now() >= begin + duration; });
-    system.wake(0);
+    system.resume(0);
     time_point const due = std::max(boot_clock::now(), begin + k_route_timeout);
     auto const got = answer.get();
     auto const late = std::chrono::duration_cast<milliseconds>(boot_clock::now() - due);
--- a/tests/platform_standin/platform_cluster.cc
+++ b/tests/platform_standin/platform_cluster.cc
@@ -228,7 +228,7 @@
   nodes_.at(index)->send_signal(SIGSTOP);
 }
 
-void platform_cluster::wake(std::size_t index) {
+void platform_cluster::resume(std::size_t index) {
   auto const suspended = suspended_at_.extract(index);
   if (suspended.empty()) return;
   auto const duration =
--- a/tests/platform_standin/platform_cluster.h
+++ b/tests/platform_standin/platform_cluster.h
@@ -37,7 +37,7 @@
   milliseconds usage_window{0};
   /// Time after the end of a window at which its usage is due.
   milliseconds usage_delay{1500};
-  /// Allows suspend() and wake().
+  /// Allows suspend() and resume().
   bool suspendable = false;
 };
 
@@ -103,10 +103,10 @@
   /// Rewrites a node's settings file with a later modification time.
   void touch_settings(std::size_t index);
   child_process& node(std::size_t index) { return *nodes_.at(index); }
-  /// Stops a node as if its machine were suspended, and continues it; wake() does nothing for a
+  /// Stops a node as if its machine were suspended, and continues it; resume() does nothing for a
   /// node that is not suspended. Requires `suspendable`.
   void suspend(std::size_t index);
-  void wake(std::size_t index);
+  void resume(std::size_t index);
   bool is_ready(std::size_t index);
   /// Returns the log of the node's current process.
   std::string log(std::size_t index) const;
--- a/tests/support/test_trainer.cc
+++ b/tests/support/test_trainer.cc
@@ -33,7 +33,7 @@
   }
   std::size_t tries = 0;
   cluster::wait_until("groups are accepted", [&] {
-    std::uint32_t const by_node = ask[tries++ % ask.size()];
+    std::uint32_t const by_node = nodes_to_pull[tries++ % nodes_to_pull.size()];
     auto const answer =
         system_.client().call<rpc::SubmitGroupsRequestT, rpc::SubmitGroupsResponseT>(
             system_.node(by_node), "TrainerService", "SubmitGroups", request, k_call_timeout);
@@ -65,7 +65,7 @@
   return answer;
 }
 
-void test_trainer::keep(rpc::PullBatchResponseT const& answer) {
+void test_trainer::make_durable(rpc::PullBatchResponseT const& answer) {
   if (!answer.batch) return;
   for (auto const& sample : answer.batch->samples) {
     json::array spans;
@@ -84,7 +84,7 @@
   }
   cursor_ = answer.batch->number;
   identity_ = answer.batch->identity;
-  kept_ += answer.batch->samples.size();
+  durable_count_ += answer.batch->samples.size();
 }
 
 void test_trainer::pull_until(std::size_t wanted, milliseconds timeout) {
@@ -93,10 +93,10 @@
   cluster::wait_until(
       what,
       [&] {
-        if (kept_ >= wanted) return true;
-        auto const answer = pull(ask[tries++ % ask.size()]);
-        if (answer) keep(answer.value());
-        return kept_ >= wanted;
+        if (durable_count_ >= wanted) return true;
+        auto const answer = pull(nodes_to_pull[tries++ % nodes_to_pull.size()]);
+        if (answer) make_durable(answer.value());
+        return durable_count_ >= wanted;
       },
       timeout);
 }
--- a/tests/support/test_trainer.h
+++ b/tests/support/test_trainer.h
@@ -28,15 +28,15 @@
   /// Pulls once with the given cursor.
   pull_reply pull_at(std::uint64_t cursor, std::string const& identity, std::uint32_t by_node);
   /// Makes a batch durable: advances the cursor and writes the samples to the journal.
-  void keep(rpc::PullBatchResponseT const& answer);
+  void make_durable(rpc::PullBatchResponseT const& answer);
   /// Pulls from the nodes in turn until `wanted` samples in total are durable.
   void pull_until(std::size_t wanted, milliseconds timeout = milliseconds(60'000));
 
-  std::size_t kept() const { return kept_; }
+  std::size_t durable_count() const { return durable_count_; }
   std::uint64_t cursor() const { return cursor_; }
   std::string const& identity() const { return identity_; }
   /// Nodes to pull from, in round-robin order.
-  std::vector<std::uint32_t> ask = {0, 1, 2};
+  std::vector<std::uint32_t> nodes_to_pull = {0, 1, 2};
 
  private:
   cluster& system_;
@@ -45,7 +45,7 @@
   standin::journal journal_;
   std::uint64_t cursor_ = 0;
   std::string identity_;
-  std::size_t kept_ = 0;
+  std::size_t durable_count_ = 0;
 };
 
 /// Returns the name of the node that owns a shard according to `by_node`; empty if none does.
