--- a/rehearsal/measure_data.cc
+++ b/rehearsal/measure_data.cc
@@ -1,5 +1,5 @@
-/// @file Slopes of the data path: CPU of the nodes against tokens relayed a second, and memory of a
-/// shard's owner against samples it holds.
+/// @file Measures the data path: CPU of the nodes by tokens relayed per second, and memory of a
+/// shard's owner by samples held.
 
 #include <fstream>
 #include <iostream>
@@ -53,8 +53,8 @@
   system.put_task("main", 1, 64, 1);
   system.publish("main", 1);
   testing::test_trainer trainer(system, "main");
-  trainer.ask = {0, 1};
-  // Enough samples that every slot stays taken through the window.
+  trainer.nodes_to_pull = {0, 1};
+  // Enough samples to keep every slot busy for the whole window.
   trainer.submit(0, 300 * engines, 8, 2000);
   cluster::wait_until("tokens flow", [&] { return tokens_in_journals(system, engines) > 1000; });
   std::uint64_t const tokens_before = tokens_in_journals(system, engines);
@@ -82,7 +82,7 @@
   std::uint32_t const owner = testing::wait_for_owner(system, "main", 0, 0);
   pid_t const process = system.process(cluster::node_name(owner)).pid();
   testing::test_trainer trainer(system, "main");
-  trainer.ask = {0, 1};
+  trainer.nodes_to_pull = {0, 1};
   double const before = testing::resident_mib(process);
   constexpr std::uint32_t k_group_size = 8;
   constexpr std::uint32_t k_groups_a_call = 128;
@@ -97,7 +97,7 @@
 
 }  // namespace
 
-/// Prints one JSON object a line.
+/// Prints one JSON object per measurement.
 int main() {
   try {
     for (std::uint32_t engines : {1, 2, 4, 8}) {
--- a/src/quarantine/evidence_record.cc
+++ b/src/quarantine/evidence_record.cc
@@ -7,9 +7,9 @@
 
 namespace frostline::quarantine {
 
-std::string records_of_quarantine() { return "frostline/quarantine"; }
+std::string quarantine_records_prefix() { return "frostline/quarantine"; }
 
-std::string evidence_record::records_prefix() { return records_of_quarantine() + "-evidence/"; }
+std::string evidence_record::records_prefix() { return quarantine_records_prefix() + "-evidence/"; }
 
 std::string evidence_record::key_of(std::string const& node) { return records_prefix() + node; }
 
@@ -18,10 +18,10 @@
   record.address = writer.to_string();
   record.incarnation = incarnation;
   record.written_at_ms = written_at_ms;
-  for (kept_evidence const& one : requests) {
+  for (stored_evidence const& evidence : requests) {
     auto kept = std::make_unique<rpc::KeptEvidenceT>();
-    kept->fingerprint = one.request.to_string();
-    kept->servers = one.servers;
+    kept->fingerprint = evidence.request.to_string();
+    kept->servers = evidence.servers;
     record.requests.push_back(std::move(kept));
   }
   return rpc::encode(record);
--- a/tests/platform/crashing_request_test.cc
+++ b/tests/platform/crashing_request_test.cc
@@ -1,4 +1,5 @@
-/// @file A request that ends each server that begins to run it, and comes again at any node.
+/// @file A request that crashes every server that runs it must be quarantined on all nodes after
+/// three crashes, without affecting other requests.
 
 #include <CppUTest/TestHarness.h>
 
@@ -17,16 +18,16 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
-/// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr char k_poison_text[] = "deadly";
+/// Time after the third crash from which on only a few retries may reach a server.
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-/// Tries after the bound holds: each would end up to three servers.
-constexpr std::size_t k_late_tries = 12;
-constexpr milliseconds k_patience{800};
-/// Calls of each of those that stood beside it which come again: those of its time.
-constexpr int k_beside_again = 12;
+/// Calls made after the quarantine takes effect; without it each would crash up to three servers.
+constexpr std::size_t k_tries_after_bound = 12;
+constexpr milliseconds k_read_timeout{800};
+/// Maximum number of calls that each concurrent caller repeats at the end.
+constexpr int k_repeated_calls_per_caller = 12;
 
 std::vector<test_item> make_items(std::string const& job, std::size_t count) {
   std::vector<test_item> items;
@@ -39,9 +40,9 @@
 
 std::set<std::string> completed(boost::json::object const& listed) {
   std::set<std::string> all;
-  for (auto const& one : listed.at("results").as_array()) {
-    bool const whole = json_text(one.as_object(), "state") == "completed";
-    if (whole) all.insert(json_text(one.as_object(), "id"));
+  for (auto const& entry : listed.at("results").as_array()) {
+    bool const whole = json_text(entry.as_object(), "state") == "completed";
+    if (whole) all.insert(json_text(entry.as_object(), "id"));
   }
   return all;
 }
@@ -53,9 +54,9 @@
   std::size_t next_try = 0;
   std::size_t next_other = 0;
 
-  void setup() override { system.set_crash_text(k_deadly); }
+  void setup() override { system.set_crash_text(k_poison_text); }
 
-  /// Requests that the store says are kept from servers.
+  /// Returns the number of quarantine records in the store.
   std::size_t quarantine_records() { return count_records(system, k_quarantine_records); }
 
   std::vector<arrival> app_arrivals() {
@@ -69,75 +70,78 @@
     });
   }
 
-  /// How often the request reached a server once the bound held.
+  /// Returns how often the request reached a server after the quarantine took effect.
   std::size_t late_arrivals() {
-    auto const times = deadly_arrivals(system);
+    auto const times = poison_arrivals(system);
     if (times.size() < k_crashes_allowed) return 0;
-    time_point const bound = times[k_crashes_allowed - 1] + k_contact;
+    time_point const bound = times[k_crashes_allowed - 1] + k_propagation_time;
     return static_cast<std::size_t>(
         std::count_if(times.begin(), times.end(), [&](time_point at) { return at > bound; }));
   }
 
-  bool is_bound_in_force() {
-    auto const times = deadly_arrivals(system);
+  bool is_quarantine_due() {
+    auto const times = poison_arrivals(system);
     return times.size() >= k_crashes_allowed &&
-           boot_clock::now() > times[k_crashes_allowed - 1] + k_contact;
+           boot_clock::now() > times[k_crashes_allowed - 1] + k_propagation_time;
   }
 
-  /// @return the status; 0 without an answer.
-  unsigned try_deadly(std::string const& path) {
+  /// @return the HTTP status; 0 without an answer.
+  unsigned try_poison_request(std::string const& path) {
     std::size_t const number = next_try++;
-    auto const answer = system.call(number % system.nodes(), http::verb::post, path,
-                                    "deadly-" + std::to_string(number), k_deadly, k_patience);
+    auto const answer =
+        system.call(number % system.nodes(), http::verb::post, path,
+                    "deadly-" + std::to_string(number), k_poison_text, k_read_timeout);
     return answer ? answer.value().result_int() : 0;
   }
 
-  /// Waits until the node that is tried next can serve other requests on this path.
+  /// Waits until the next node serves other requests on this path.
   void wait_for_service(std::string const& path) {
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer =
           system.call(next_try % system.nodes(), http::verb::post, path,
-                      "other-" + std::to_string(next_other++), "harmless", k_patience);
+                      "other-" + std::to_string(next_other++), "harmless", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
 
-  /// Tries the deadly request at all nodes in turn until the bound holds, and some times after.
+  /// Sends the poison request to all nodes in turn until the quarantine takes effect, and
+  /// k_tries_after_bound times afterwards.
   void keep_trying(std::string const& path) {
     platform_cluster::wait_until("three servers have ended long enough ago", [&] {
-      try_deadly(path);
-      return is_bound_in_force();
+      try_poison_request(path);
+      return is_quarantine_due();
     });
-    for (std::size_t number = 0; number < k_late_tries; ++number) {
+    for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       wait_for_service(path);
-      try_deadly(path);
+      try_poison_request(path);
     }
   }
 };
 
-TEST(crashing_request_test, safe_request_reaches_servers_no_more_after_three_have_ended) {
+TEST(crashing_request_test, safe_request_is_quarantined_after_three_crashes) {
   keep_trying("/calls/x");
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, one_try_ends_no_more_servers_than_it_has_attempts) {
+TEST(crashing_request_test, one_call_crashes_no_more_servers_than_it_has_attempts) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().work_time = milliseconds(60);
     }
     return 0;
   });
-  // Requests at the same time leave kept connections to all servers.
+  // Concurrent requests leave idle connections to all servers.
   platform_cluster::wait_until("the node has been connected to all servers", [&] {
     std::vector<std::future<bool>> others;
     for (std::size_t number = 0; number < 12; ++number) {
       others.push_back(std::async(std::launch::async, [&, number] {
-        auto const answer = system.call(0, http::verb::post, "/calls/x",
-                                        "other-" + std::to_string(number), "harmless", k_patience);
+        auto const answer =
+            system.call(0, http::verb::post, "/calls/x", "other-" + std::to_string(number),
+                        "harmless", k_read_timeout);
         return answer.has_value();
       }));
     }
-    for (auto& one : others) one.get();
+    for (auto& other : others) other.get();
     return system.on_platform([&] {
       for (std::size_t index = 0; index < system.apps(); ++index) {
         if (system.app(index).arrivals().empty()) return false;
@@ -145,39 +149,39 @@
       return true;
     });
   });
-  LONGS_EQUAL(502, try_deadly("/calls/x"));
-  LONGS_EQUAL(3, deadly_arrivals(system).size());
+  LONGS_EQUAL(502, try_poison_request("/calls/x"));
+  LONGS_EQUAL(3, poison_arrivals(system).size());
 }
 
-TEST(crashing_request_test, unsafe_request_reaches_servers_no_more_after_three_have_ended) {
+TEST(crashing_request_test, unsafe_request_is_quarantined_after_three_crashes) {
   keep_trying("/once/x");
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, stream_reaches_servers_no_more_after_three_have_ended) {
+TEST(crashing_request_test, stream_is_quarantined_after_three_crashes) {
   keep_trying("/stream/x");
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, sample_reaches_engines_no_more_and_the_others_are_finished) {
+TEST(crashing_request_test, sample_is_quarantined_and_the_others_finish) {
   auto items = make_items("job", 12);
-  items[3].prompt = k_deadly;
+  items[3].prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
   auto const listed = system.wait_for_results(1, "job", 11);
   LONGS_EQUAL(11, completed(listed).size());
-  platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
+  platform_cluster::wait_until("the quarantine is in effect", [&] { return is_quarantine_due(); });
   std::size_t const then = late_arrivals();
-  // The same sample in a job that comes later is the same request.
+  // The same sample in a later job is the same request.
   LONGS_EQUAL(202, system.submit(1, "again", {items[3], {"fresh", "group-f"}}));
   CHECK(completed(system.wait_for_results(2, "again", 1)).contains("fresh"));
   CHECK(then <= k_retries_allowed);
   CHECK(late_arrivals() <= k_retries_allowed);
 }
 
-TEST(crashing_request_test, samples_that_ran_beside_it_are_not_held_back) {
-  // All engines are full, so that it takes seven others along each time.
+TEST(crashing_request_test, concurrent_samples_are_not_quarantined) {
+  // Full engines: each crash also interrupts seven other samples.
   auto items = make_items("job", 32);
-  items[3].prompt = k_deadly;
+  items[3].prompt = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
   platform_cluster::wait_until("there is a record", [&] { return quarantine_records() > 0; });
   auto const listed = system.wait_for_results(1, "job", 31);
@@ -185,13 +189,13 @@
   LONGS_EQUAL(1, quarantine_records());
 }
 
-TEST(crashing_request_test, scorers_call_reaches_servers_no_more_and_the_others_are_scored) {
+TEST(crashing_request_test, scorer_call_is_quarantined_and_the_others_are_scored) {
   auto items = make_items("job", 12);
-  items[3].scorer_body = k_deadly;
+  items[3].scorer_body = k_poison_text;
   LONGS_EQUAL(202, system.submit(0, "job", items));
   auto const listed = system.wait_for_results(1, "job", 11);
   LONGS_EQUAL(11, completed(listed).size());
-  platform_cluster::wait_until("the bound holds", [&] { return is_bound_in_force(); });
+  platform_cluster::wait_until("the quarantine is in effect", [&] { return is_quarantine_due(); });
   for (std::size_t number = 0; number < 4; ++number) {
     std::string const job = "later-" + std::to_string(number);
     LONGS_EQUAL(202, system.submit(number % 3, job, make_items(job, 4)));
@@ -201,23 +205,23 @@
   LONGS_EQUAL(1, quarantine_records());
 }
 
-TEST(crashing_request_test, refusal_is_the_same_at_each_node_at_once_and_invites_no_retry) {
+TEST(crashing_request_test, every_node_refuses_immediately_with_a_long_retry_after) {
   keep_trying("/calls/x");
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     time_point const begin = boot_clock::now();
     auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                    "refused-" + std::to_string(node), k_deadly);
-    CHECK(boot_clock::now() - begin < k_patience);
+                                    "refused-" + std::to_string(node), k_poison_text);
+    CHECK(boot_clock::now() - begin < k_read_timeout);
     LONGS_EQUAL(503, answer.value().result_int());
     STRCMP_EQUAL("60", std::string(http::header(answer.value(), "Retry-After")).c_str());
     CHECK(answer.value().body().find("quarantined") != std::string::npos);
   }
-  for (arrival const& one : app_arrivals()) CHECK(!one.request.starts_with("refused-"));
+  for (arrival const& entry : app_arrivals()) CHECK(!entry.request.starts_with("refused-"));
 }
 
-TEST(crashing_request_test, quarantine_outlasts_the_end_of_every_node) {
+TEST(crashing_request_test, quarantine_survives_a_restart_of_all_nodes) {
   keep_trying("/calls/x");
-  std::size_t const before = deadly_arrivals(system).size();
+  std::size_t const before = poison_arrivals(system).size();
   for (std::size_t node = 0; node < system.nodes(); ++node) system.node(node).kill();
   for (std::size_t node = 0; node < system.nodes(); ++node) system.start_node(node);
   for (std::size_t node = 0; node < system.nodes(); ++node) {
@@ -225,31 +229,31 @@
       return system.log(node).find("Request is under quarantine") != std::string::npos;
     });
     platform_cluster::wait_until("it is in effect", [&] {
-      auto const answer = system.call(node, http::verb::post, "/calls/x", "late", k_deadly);
+      auto const answer = system.call(node, http::verb::post, "/calls/x", "late", k_poison_text);
       return answer && answer.value().body().find("quarantined") != std::string::npos;
     });
   }
-  // The record takes a moment to take effect on a node that has just started.
-  CHECK(deadly_arrivals(system).size() <= before + system.nodes() * k_crashes_allowed);
-  std::size_t const after = deadly_arrivals(system).size();
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+  // The record does not take effect immediately on a node that has just started.
+  CHECK(poison_arrivals(system).size() <= before + system.nodes() * k_crashes_allowed);
+  std::size_t const after = poison_arrivals(system).size();
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service("/calls/x");
-    try_deadly("/calls/x");
+    try_poison_request("/calls/x");
   }
-  CHECK(deadly_arrivals(system).size() <= after + 1);
+  CHECK(poison_arrivals(system).size() <= after + 1);
 }
 
-TEST(crashing_request_test, request_is_served_again_once_the_servers_bear_it) {
+TEST(crashing_request_test, request_is_served_again_once_it_crashes_no_server) {
   platform_cluster::wait_until("three servers have ended and there is a record", [&] {
-    if (deadly_arrivals(system).size() < k_crashes_allowed) try_deadly("/calls/x");
+    if (poison_arrivals(system).size() < k_crashes_allowed) try_poison_request("/calls/x");
     return quarantine_records() == 1;
   });
   system.set_crash_text("");
   platform_cluster::wait_until("a trial was answered and the record is gone",
-                               [&] { return try_deadly("/calls/x") == 200; });
+                               [&] { return try_poison_request("/calls/x") == 200; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     platform_cluster::wait_until("every node serves it", [&] {
-      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_deadly);
+      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_poison_text);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -268,39 +272,39 @@
   });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     platform_cluster::wait_until("every node serves it", [&] {
-      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_deadly);
+      auto const answer = system.call(node, http::verb::post, "/calls/x", "again", k_poison_text);
       return answer && answer.value().result_int() == 200;
     });
   }
 }
 
-TEST(crashing_request_test, bound_holds_after_the_store_was_away) {
+TEST(crashing_request_test, quarantine_takes_effect_after_a_store_outage) {
   system.on_platform([&] {
     system.store().faults().silent = true;
     return 0;
   });
   platform_cluster::wait_until("three servers have ended", [&] {
-    try_deadly("/calls/x");
-    return deadly_arrivals(system).size() >= k_crashes_allowed;
+    try_poison_request("/calls/x");
+    return poison_arrivals(system).size() >= k_crashes_allowed;
   });
   system.on_platform([&] {
     system.store().faults().silent = false;
     return 0;
   });
   time_point const back = boot_clock::now();
-  platform_cluster::wait_until("the bound holds", [&] {
-    try_deadly("/calls/x");
-    return boot_clock::now() > back + k_contact;
+  platform_cluster::wait_until("the quarantine is in effect", [&] {
+    try_poison_request("/calls/x");
+    return boot_clock::now() > back + k_propagation_time;
   });
-  std::size_t const before = deadly_arrivals(system).size();
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+  std::size_t const before = poison_arrivals(system).size();
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service("/calls/x");
-    try_deadly("/calls/x");
+    try_poison_request("/calls/x");
   }
-  CHECK(deadly_arrivals(system).size() <= before + k_retries_allowed);
+  CHECK(poison_arrivals(system).size() <= before + k_retries_allowed);
 }
 
-TEST(crashing_request_test, wide_crash_under_a_popular_request_refuses_nothing) {
+TEST(crashing_request_test, mass_crash_during_a_popular_request_refuses_nothing) {
   platform_options options = with_many_servers();
   options.nodes = 6;
   platform_cluster wide{options};
@@ -310,11 +314,11 @@
     }
     return 0;
   });
-  // The nodes that bring evidence together do not see the request answered.
-  std::vector<std::size_t> callers_nodes;
+  // The relays collect the evidence but see no answers to the request.
+  std::vector<std::size_t> caller_nodes;
   std::set<std::size_t> const relays = {wide.relay(0), wide.relay(1), wide.relay(2)};
   for (std::size_t node = 0; node < wide.nodes(); ++node) {
-    if (!relays.contains(node)) callers_nodes.push_back(node);
+    if (!relays.contains(node)) caller_nodes.push_back(node);
   }
   std::atomic<bool> stop = false;
   std::atomic<int> refused = 0;
@@ -324,8 +328,8 @@
     callers.emplace_back([&, number] {
       for (int call = 0; !stop; ++call) {
         auto const id = "popular-" + std::to_string(number) + "-" + std::to_string(call);
-        auto const answer = wide.call(callers_nodes[number % callers_nodes.size()],
-                                      http::verb::post, "/calls/x", id, "popular", k_patience);
+        auto const answer = wide.call(caller_nodes[number % caller_nodes.size()], http::verb::post,
+                                      "/calls/x", id, "popular", k_read_timeout);
         if (!answer) continue;
         if (answer.value().result_int() == 200) ++served;
         if (answer.value().body().find("quarantined") != std::string::npos) ++refused;
@@ -335,7 +339,7 @@
   for (int round = 0; round < 4; ++round) {
     int const then = served;
     platform_cluster::wait_until("the request is served", [&] { return served > then + 30; });
-    // Three of four servers end at once, under many runs of the same request.
+    // Crash three of four servers at once while many runs of the request are in flight.
     wide.on_platform([&] {
       for (std::size_t index = 0; index < 3; ++index) {
         wide.app((index + static_cast<std::size_t>(round)) % 4).crash();
@@ -352,7 +356,7 @@
     });
   }
   stop = true;
-  for (std::thread& one : callers) one.join();
+  for (std::thread& caller : callers) caller.join();
   LONGS_EQUAL(0, refused);
   bool suspected = false;
   for (std::size_t node : relays) {
@@ -361,7 +365,7 @@
   CHECK(suspected);
 }
 
-TEST(crashing_request_test, requests_that_stand_beside_it_are_served_soon_after) {
+TEST(crashing_request_test, concurrent_requests_are_served_soon_after) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().work_time = milliseconds(60);
@@ -377,14 +381,14 @@
     callers.emplace_back([&, number] {
       for (int call = 0; !stop; ++call) {
         auto const id = "beside-" + std::to_string(number) + "-" + std::to_string(call);
-        // Each comes again until it is answered, as a scorer's call does.
+        // Retries until it is answered, like a scorer's call.
         for (std::size_t attempt = 0; !stop; ++attempt) {
           auto const answer = system.call((number + attempt) % system.nodes(), http::verb::post,
-                                          "/calls/x", id, "body of " + id, k_patience);
+                                          "/calls/x", id, "body of " + id, k_read_timeout);
           if (answer && answer.value().result_int() == 200) break;
         }
         ++served;
-        if (call < k_beside_again) served_by[number] = call;
+        if (call < k_repeated_calls_per_caller) served_by[number] = call;
       }
     });
   }
@@ -393,22 +397,22 @@
   int const then = served;
   platform_cluster::wait_until("all callers are served", [&] { return served > then + 100; });
   stop = true;
-  for (std::thread& one : callers) one.join();
-  // Some may have been taken for what they stood beside, after they were answered elsewhere. One
-  // that comes again is served: its trial is due by now, and clears it.
+  for (std::thread& caller : callers) caller.join();
+  // Some requests may have become suspects after another server answered them. When repeated, they
+  // are served: their trial is due by now and clears them.
   std::size_t node = 0;
   for (std::size_t number = 0; number < callers.size(); ++number) {
     for (int call = 0; call < served_by[number]; ++call) {
       auto const id = "beside-" + std::to_string(number) + "-" + std::to_string(call);
       auto const answer = system.call(node++ % system.nodes(), http::verb::post, "/calls/x", id,
-                                      "body of " + id, k_patience);
+                                      "body of " + id, k_read_timeout);
       LONGS_EQUAL(200, answer.value().result_int());
     }
   }
   LONGS_EQUAL(1, quarantine_records());
 }
 
-TEST(crashing_request_test, connections_that_are_cut_are_no_crashes) {
+TEST(crashing_request_test, cut_connections_do_not_count_as_crashes) {
   system.set_crash_text("");
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
@@ -416,8 +420,8 @@
     }
     return 0;
   });
-  for (int number = 0; number < 8; ++number) try_deadly("/calls/x");
-  platform_cluster::wait_until("the servers were looked at", [&] {
+  for (int number = 0; number < 8; ++number) try_poison_request("/calls/x");
+  platform_cluster::wait_until("the servers were checked", [&] {
     return system.log(0).find("\"condition\":\"lives\"") != std::string::npos;
   });
   system.on_platform([&] {
@@ -425,13 +429,13 @@
     return 0;
   });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
-    auto const answer = system.call(node, http::verb::post, "/calls/x", "whole", k_deadly);
+    auto const answer = system.call(node, http::verb::post, "/calls/x", "whole", k_poison_text);
     LONGS_EQUAL(200, answer.value().result_int());
     CHECK(system.log(node).find("Server ended under a request") == std::string::npos);
   }
 }
 
-TEST(crashing_request_test, request_is_answered_at_once_when_no_server_is_left) {
+TEST(crashing_request_test, request_is_answered_immediately_when_no_server_is_left) {
   system.on_platform([&] {
     for (std::size_t index = 0; index < system.apps(); ++index) {
       system.app(index).faults().down_time = seconds(5);
@@ -441,6 +445,6 @@
     return 0;
   });
   time_point const begin = boot_clock::now();
-  LONGS_EQUAL(502, try_deadly("/calls/x"));
-  CHECK(boot_clock::now() - begin < k_patience / 2);
+  LONGS_EQUAL(502, try_poison_request("/calls/x"));
+  CHECK(boot_clock::now() - begin < k_read_timeout / 2);
 }
--- a/tests/platform/frozen_owner_test.cc
+++ b/tests/platform/frozen_owner_test.cc
@@ -1,4 +1,5 @@
-/// @file An owner that was frozen for longer than its lease: others have gone on without it.
+/// @file An owner that was frozen for longer than its lease must send nothing for jobs that ended
+/// meanwhile.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -11,7 +12,7 @@
 namespace {
 
 constexpr std::size_t k_items = 24;
-/// Within that time of an acknowledged end its items may still reach an engine.
+/// Time after the acknowledged end of a job in which its items may still reach an engine.
 constexpr milliseconds k_cancel_time{3000};
 
 }  // namespace
@@ -27,8 +28,8 @@
     return items;
   }
 
-  /// Freezes the owner until another one has ended the job and nothing of it may arrive any more.
-  /// @return its index.
+  /// Freezes the owner until another owner has ended the job and the time for its last arrivals has
+  /// passed. @return the frozen node's index.
   std::size_t freeze_until_job_is_over() {
     std::size_t const frozen = system.owner();
     std::size_t const other = (frozen + 1) % system.nodes();
@@ -41,8 +42,8 @@
     return frozen;
   }
 
-  /// Returns when the thawed node has heard of its successor, and has served since.
-  void thaw(std::size_t frozen) {
+  /// Resumes the node and waits until it has learned of its successor and serves requests.
+  void resume_owner(std::size_t frozen) {
     system.node(frozen).send_signal(SIGCONT);
     platform_cluster::wait_until("the owner knows that it is none any more", [&] {
       return system.log(frozen).find("Ownership lost") != std::string::npos;
@@ -52,7 +53,7 @@
   }
 };
 
-TEST(frozen_owner_test, job_that_was_ended_meanwhile_sends_no_sample_after_the_thaw) {
+TEST(frozen_owner_test, job_ended_during_the_freeze_sends_no_sample_afterwards) {
   set_engines_full(system, true);
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", k_items)));
   platform_cluster::wait_until("engines have refused runs",
@@ -60,11 +61,11 @@
   std::size_t const frozen = freeze_until_job_is_over();
   std::size_t const before = count_arrivals(system, "job-");
   set_engines_full(system, false);
-  thaw(frozen);
+  resume_owner(frozen);
   LONGS_EQUAL(before, count_arrivals(system, "job-"));
 }
 
-TEST(frozen_owner_test, job_that_was_ended_meanwhile_asks_no_scorer_after_the_thaw) {
+TEST(frozen_owner_test, job_ended_during_the_freeze_calls_no_scorer_afterwards) {
   set_apps_full(system, true);
   LONGS_EQUAL(202, system.submit(0, "job", make_items("job", k_items)));
   platform_cluster::wait_until("scorers have refused calls",
@@ -72,6 +73,6 @@
   std::size_t const frozen = freeze_until_job_is_over();
   std::size_t const before = count_arrivals(system, "score-job-");
   set_apps_full(system, false);
-  thaw(frozen);
+  resume_owner(frozen);
   LONGS_EQUAL(before, count_arrivals(system, "score-job-"));
 }
--- a/tests/platform/lost_crash_records_test.cc
+++ b/tests/platform/lost_crash_records_test.cc
@@ -1,19 +1,5 @@
-/// @file All nodes end with the third crash of a request of which no call has met two crashes
-/// itself: calls with a single attempt, which come to different nodes, and samples.
-///
-/// What happens: three servers end under the request, and all nodes lose power with the third,
-/// before the record is written that keeps it from servers. The nodes that are back know nothing of
-/// it, and it ends servers three times more and what comes until the next record is in force.
-///
-/// Why: evidence is kept in the memories of the nodes that saw it and of those that collect it. It
-/// was stored before a third run only for calls that had met two crashes in one node's sight.
-///
-/// What showed it: soak seeds 215 and 231 (9 late crashes each), and these tests: before the mend
-/// more than three servers end again, and no node writes a record before that.
-///
-/// Since: from the second crash on, whoever saw it, evidence is kept in the store; nodes that find
-/// it at their start, with nobody left who remembers it, put the request under quarantine
-/// (quarantine/service_evidence).
+/// @file Guards against lost evidence when all nodes fail together with the third crash of a
+/// request whose crashes were seen by different nodes: the evidence must survive in the store.
 
 #include <CppUTest/TestHarness.h>
 
@@ -24,13 +10,13 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
-constexpr milliseconds k_patience{800};
-/// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+constexpr char k_poison_text[] = "deadly";
+constexpr milliseconds k_read_timeout{800};
+/// Time after the third crash from which on only a few retries may reach a server.
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-constexpr std::size_t k_late_tries = 12;
+constexpr std::size_t k_tries_after_bound = 12;
 
 }  // namespace
 
@@ -38,7 +24,7 @@
   platform_cluster system{with_many_servers()};
   std::size_t next_other = 0;
 
-  void setup() override { system.set_crash_text(k_deadly); }
+  void setup() override { system.set_crash_text(k_poison_text); }
 
   std::size_t crashes() {
     return system.on_platform([&] {
@@ -67,9 +53,9 @@
 
   void wait_for_service(std::size_t node) {
     platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                      "other-" + std::to_string(next_other++), "b", k_patience);
+                                      "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
@@ -80,22 +66,23 @@
     for (std::size_t node = 0; node < system.nodes(); ++node) wait_for_service(node);
   }
 
-  void wait_for_the_bound(time_point third) {
-    platform_cluster::wait_until("the bound holds",
-                                 [&] { return boot_clock::now() > third + k_contact; });
+  void wait_for_propagation(time_point third) {
+    platform_cluster::wait_until("the quarantine is in effect",
+                                 [&] { return boot_clock::now() > third + k_propagation_time; });
   }
 
-  void call_deadly(std::size_t number) {
-    // What it is answered is judged by what reaches the servers.
+  void call_poison(std::size_t number) {
+    // The answer is ignored: the test counts arrivals at the servers.
     static_cast<void>(system.call(number % system.nodes(), http::verb::post, "/once/x",
-                                  "deadly-" + std::to_string(number), k_deadly, k_patience));
+                                  "deadly-" + std::to_string(number), k_poison_text,
+                                  k_read_timeout));
   }
 
   bool is_completed(std::string const& job, std::string const& id) {
     auto const listed = system.results(0, job);
     if (!listed) return false;
-    for (auto const& one : listed->at("results").as_array()) {
-      auto const& result = one.as_object();
+    for (auto const& entry : listed->at("results").as_array()) {
+      auto const& result = entry.as_object();
       if (result.at("id").as_string() == id && result.at("state").as_string() == "completed") {
         return true;
       }
@@ -103,19 +90,19 @@
     return false;
   }
 
-  /// Hands a job in whose sample, or whose scorer's call, ends servers; all nodes end with the
-  /// third of them.
-  void end_nodes_with_the_third_crash_of(test_item const& deadly) {
-    LONGS_EQUAL(202, system.submit(0, "job", {deadly}));
+  /// Submits a job whose sample or scorer's call crashes servers, and kills all nodes at the third
+  /// crash.
+  void kill_nodes_at_third_crash(test_item const& poison) {
+    LONGS_EQUAL(202, system.submit(0, "job", {poison}));
     platform_cluster::wait_until("three servers have ended",
                                  [&] { return crashes() >= k_crashes_allowed; });
     time_point const third = boot_clock::now();
     restart_all_nodes();
     test_item const harmless{"harmless", "group"};
-    LONGS_EQUAL(202, system.submit(0, "again", {deadly, harmless}));
-    wait_for_the_bound(third);
+    LONGS_EQUAL(202, system.submit(0, "again", {poison, harmless}));
+    wait_for_propagation(third);
     platform_cluster::wait_until("samples run", [&] { return is_completed("again", "harmless"); });
-    time_point const observed = boot_clock::now() + k_contact;
+    time_point const observed = boot_clock::now() + k_propagation_time;
     platform_cluster::wait_until("more runs would have begun",
                                  [&] { return boot_clock::now() > observed; });
   }
@@ -123,32 +110,32 @@
 
 TEST(lost_crash_records_test, bound_holds_for_calls_whose_crashes_different_nodes_saw) {
   for (std::size_t number = 0; number + 1 < k_crashes_allowed; ++number) {
-    call_deadly(number);
+    call_poison(number);
     wait_for_service(number);
   }
-  call_deadly(k_crashes_allowed - 1);
+  call_poison(k_crashes_allowed - 1);
   time_point const third = boot_clock::now();
   LONGS_EQUAL(k_crashes_allowed, crashes());
   restart_all_nodes();
-  wait_for_the_bound(third);
-  for (std::size_t number = 0; number < k_late_tries; ++number) {
+  wait_for_propagation(third);
+  for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
     wait_for_service(number % system.nodes());
-    call_deadly(number);
+    call_poison(number);
   }
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
 
 TEST(lost_crash_records_test, bound_holds_for_a_sample) {
-  test_item deadly{"deadly", "group"};
-  deadly.prompt = k_deadly;
-  end_nodes_with_the_third_crash_of(deadly);
+  test_item poison{"deadly", "group"};
+  poison.prompt = k_poison_text;
+  kill_nodes_at_third_crash(poison);
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
 
 TEST(lost_crash_records_test, bound_holds_for_a_scorers_call) {
-  test_item deadly{"deadly", "group"};
-  deadly.scorer_path = "/open/score";
-  deadly.scorer_body = k_deadly;
-  end_nodes_with_the_third_crash_of(deadly);
+  test_item poison{"deadly", "group"};
+  poison.scorer_path = "/open/score";
+  poison.scorer_body = k_poison_text;
+  kill_nodes_at_third_crash(poison);
   CHECK(crashes() <= k_crashes_allowed + k_retries_allowed);
 }
--- a/tests/platform/silent_connections_test.cc
+++ b/tests/platform/silent_connections_test.cc
@@ -1,12 +1,5 @@
-/// @file Seen: routes that an acknowledged configuration had added were refused for many seconds by
-/// all nodes of all zones, and no node wrote a warning.
-///
-/// How it comes about: open connections go silent, without a reset, while new ones work; or the
-/// store never answers a watch that waits. Each relay asks for changes in one call that waits long,
-/// and called itself sure of what it had heard for as long as the store answered other calls. So a
-/// dead watch was believed, for 31 s, by every node that asked that relay.
-///
-/// What proved it: without silence the same change is in force in time, by the same code.
+/// @file Guards against stale configuration after open connections go silent without a reset, or
+/// after the store stops answering waiting watches.
 
 #include <CppUTest/TestHarness.h>
 
@@ -19,7 +12,7 @@
 
 namespace {
 
-/// Each zone has a relay, and each relay hears of changes by a watch of its own.
+/// Each zone has its own relay, and each relay its own watch.
 platform_options three_zones() {
   platform_options options;
   options.nodes = 6;
@@ -27,14 +20,14 @@
   return options;
 }
 
-/// A machine whose connections were lost without a word counts as in touch that long after, and
-/// what was acknowledged before has to be in force then.
-constexpr seconds k_in_touch{3};
-/// Longest time that a caller waits for an answer to what is served in milliseconds: a dead
-/// connection may cost it one attempt.
-constexpr milliseconds k_late{700};
+/// Maximum time in which acknowledged changes must take effect on all nodes, even if connections
+/// were lost without a reset.
+constexpr seconds k_max_propagation_time{3};
+/// Maximum latency of a call that servers answer within milliseconds; a dead connection may cost
+/// one attempt.
+constexpr milliseconds k_max_latency{700};
 /// The route's target latency.
-constexpr milliseconds k_objective{150};
+constexpr milliseconds k_target_latency{150};
 
 }  // namespace
 
@@ -49,7 +42,7 @@
     });
   }
 
-  bool all_say(std::string const& text) {
+  bool all_logs_contain(std::string const& text) {
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       if (system.log(node).find(text) == std::string::npos) return false;
     }
@@ -67,13 +60,14 @@
            R"("service":"apps","max_attempts":3})";
   }
 
-  /// Waits until each zone has a relay, a node owns the pool, all have heard of a change, and the
-  /// watches for the next one wait at the store.
+  /// Waits until each zone has a relay, the pool has an owner, all nodes have applied a change, and
+  /// the watches for the next one are waiting at the store.
   void settle() {
     for (std::uint32_t zone = 0; zone < 3; ++zone) system.relay(zone);
     system.owner();
     on_platform([&] { system.put_config(2); });
-    platform_cluster::wait_until("version 2 is in force", [&] { return all_say(in_force(2)); });
+    platform_cluster::wait_until("version 2 is in force",
+                                 [&] { return all_logs_contain(in_force(2)); });
     platform_cluster::wait_until("watches wait", [&] {
       return system.on_platform([&] {
         store_standin& store = system.store();
@@ -85,7 +79,8 @@
 
   void add_route_and_wait() {
     on_platform([&] { system.put_config(3, route("added")); });
-    platform_cluster::wait_until("version 3 is in force", [&] { return all_say(in_force(3)); });
+    platform_cluster::wait_until("version 3 is in force",
+                                 [&] { return all_logs_contain(in_force(3)); });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       auto const answer =
           system.call(node, http::verb::get, "/added/one", "added-" + std::to_string(node));
@@ -94,7 +89,7 @@
     }
   }
 
-  /// Leaves `count` kept connections from each node to the servers of the calls.
+  /// Opens `count` keep-alive connections from each node to the application servers.
   void keep_connections(std::size_t count) {
     on_platform([&] {
       for (std::size_t app = 0; app < system.apps(); ++app) {
@@ -103,11 +98,11 @@
     });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
       std::vector<std::thread> callers;
-      for (std::size_t one = 0; one < count; ++one) {
-        callers.emplace_back([this, node, one] {
+      for (std::size_t number = 0; number < count; ++number) {
+        callers.emplace_back([this, node, number] {
           auto const answer =
               system.call(node, http::verb::get, "/calls/warm",
-                          "warm-" + std::to_string(node) + "-" + std::to_string(one));
+                          "warm-" + std::to_string(node) + "-" + std::to_string(number));
           CHECK(static_cast<bool>(answer));
         });
       }
@@ -120,13 +115,14 @@
     });
   }
 
-  /// Makes calls one after the other at one node. @return how long each took.
+  /// Makes sequential calls at one node. @return the latency of each.
   std::vector<milliseconds> timed_calls(std::size_t node, std::size_t count) {
     std::vector<milliseconds> times;
-    for (std::size_t one = 0; one < count; ++one) {
+    for (std::size_t number = 0; number < count; ++number) {
       time_point const begin = boot_clock::now();
-      auto const answer = system.call(node, http::verb::get, "/calls/one",
-                                      "call-" + std::to_string(node) + "-" + std::to_string(one));
+      auto const answer =
+          system.call(node, http::verb::get, "/calls/one",
+                      "call-" + std::to_string(node) + "-" + std::to_string(number));
       CHECK(static_cast<bool>(answer));
       LONGS_EQUAL(200, answer.value().result_int());
       times.push_back(milliseconds(milliseconds_since(begin)));
@@ -139,7 +135,7 @@
   settle();
   time_point const begin = boot_clock::now();
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test,
@@ -148,16 +144,16 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::store) > 0);
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test,
      change_is_in_force_in_time_though_waiting_watches_are_never_answered) {
   settle();
   time_point const begin = boot_clock::now();
-  on_platform([&] { CHECK(system.store().forget_watches() > 0); });
+  on_platform([&] { CHECK(system.store().stall_watches() > 0); });
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, change_is_in_force_in_time_after_all_connections_went_silent) {
@@ -165,7 +161,7 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::all) > 0);
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, change_is_in_force_in_time_after_connections_of_nodes_went_silent) {
@@ -173,7 +169,7 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::nodes) > 0);
   add_route_and_wait();
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test,
@@ -181,37 +177,38 @@
   settle();
   time_point const begin = boot_clock::now();
   on_platform([&] {
-    CHECK(system.store().forget_watches() > 0);
+    CHECK(system.store().stall_watches() > 0);
     system.announce(system.app(0), "draining");
   });
-  platform_cluster::wait_until("all know of the drain", [&] { return all_say("Server drains"); });
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  platform_cluster::wait_until("all know of the drain",
+                               [&] { return all_logs_contain("Server drains"); });
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, version_is_ordered_in_time_though_watches_are_never_answered) {
   settle();
   time_point const begin = boot_clock::now();
   on_platform([&] {
-    CHECK(system.store().forget_watches() > 0);
+    CHECK(system.store().stall_watches() > 0);
     system.name_version(2);
   });
   platform_cluster::wait_until("an engine is ordered", [&] {
     return system.on_platform(
         [&] { return !system.engine(0).orders().empty() || !system.engine(1).orders().empty(); });
   });
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
 
 TEST(silent_connections_test, dead_connections_to_servers_delay_few_calls) {
   settle();
   keep_connections(8);
   CHECK(system.silence_connections(connected_part::servers) > 0);
-  // One attempt a server may meet a dead connection; the next one knows.
+  // One attempt per server may hit a dead connection; later attempts avoid it.
   for (std::size_t node = 0; node < system.nodes(); ++node) {
     auto const times = timed_calls(node, 12);
-    CHECK(*std::max_element(times.begin(), times.end()) < k_late);
+    CHECK(*std::max_element(times.begin(), times.end()) < k_max_latency);
     auto const late = std::count_if(times.begin(), times.end(),
-                                    [](milliseconds one) { return one > k_objective; });
+                                    [](milliseconds time) { return time > k_target_latency; });
     CHECK(static_cast<std::size_t>(late) <= system.apps());
   }
 }
@@ -226,8 +223,8 @@
   time_point const begin = boot_clock::now();
   CHECK(system.silence_connections(connected_part::all) > 0);
   for (std::size_t node = 0; node < system.nodes(); ++node) {
-    platform_cluster::wait_until("the results are told",
+    platform_cluster::wait_until("the results are listed",
                                  [&] { return system.results_status(node, "job-1") == 200; });
   }
-  CHECK(boot_clock::now() - begin < k_in_touch);
+  CHECK(boot_clock::now() - begin < k_max_propagation_time);
 }
--- a/tests/platform/suspended_crash_test.cc
+++ b/tests/platform/suspended_crash_test.cc
@@ -1,20 +1,5 @@
-/// @file Servers that end, and start again, while the node that waits for them is suspended.
-///
-/// What happens: a call that ends its server is under way when its node's machine is suspended. The
-/// server ends and is back before the machine wakes. The node finds the connection broken, or its
-/// caller gone, looks at the server's address, finds somebody listening, and takes the connection
-/// for one that was cut. The crash is not counted, and the request ends servers as often as the
-/// nodes sleep.
-///
-/// Why: a look at an address tells whether a process listens there, not whether it is the one that
-/// had the request.
-///
-/// What showed it: soak seed 231, two crashes of which fell into a suspension of all nodes, and
-/// these tests: before the mend the nodes write "Server looked at after connections broke." with
-/// condition "lives" and no "Server ended under a request." for the first three crashes.
-///
-/// Since: such a run stays undecided until the directory tells, soon after the look, that another
-/// life has taken the server's place (quarantine/undecided_runs).
+/// @file Guards against uncounted crashes when a server crashes and restarts while the calling node
+/// is suspended: a listening process may be a new incarnation of the server.
 
 #include <CppUTest/TestHarness.h>
 
@@ -27,18 +12,18 @@
 
 namespace {
 
-constexpr char k_deadly[] = "deadly";
-constexpr milliseconds k_patience{800};
-/// From the call's arrival to its server's end: the node sleeps by then.
+constexpr char k_poison_text[] = "deadly";
+constexpr milliseconds k_read_timeout{800};
+/// Time from the call's arrival to the crash; the node is suspended by then.
 constexpr milliseconds k_crash_after{150};
-/// The caller leaves in the node's sleep, or is still there when it wakes.
-constexpr milliseconds k_short_patience{250};
-constexpr milliseconds k_long_patience{4000};
-/// From this long after the third crash on, only few retries may reach a server.
-constexpr milliseconds k_contact{3000};
+/// The caller disconnects during the node's suspension, or still waits when it resumes.
+constexpr milliseconds k_short_read_timeout{250};
+constexpr milliseconds k_long_read_timeout{4000};
+/// Time after the third crash from which on only a few retries may reach a server.
+constexpr milliseconds k_propagation_time{3000};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::size_t k_retries_allowed = 3;
-constexpr std::size_t k_late_tries = 12;
+constexpr std::size_t k_tries_after_bound = 12;
 
 platform_options with_suspension() {
   platform_options options;
@@ -55,7 +40,7 @@
   std::size_t next_other = 0;
 
   void setup() override {
-    system.set_crash_text(k_deadly);
+    system.set_crash_text(k_poison_text);
     system.on_platform([&] {
       for (std::size_t index = 0; index < system.apps(); ++index) {
         system.app(index).faults().crash_after = k_crash_after;
@@ -84,68 +69,70 @@
   }
 
   void wait_for_service(std::size_t node) {
-    platform_cluster::wait_until("others are served", [&] {
+    platform_cluster::wait_until("other requests are served", [&] {
       auto const answer = system.call(node, http::verb::post, "/calls/x",
-                                      "other-" + std::to_string(next_other++), "b", k_patience);
+                                      "other-" + std::to_string(next_other++), "b", k_read_timeout);
       return answer && answer.value().result_int() == 200;
     });
   }
 
-  /// A server ends under a call of a node that sleeps, and is back before it wakes.
-  void end_server_while_suspended(std::size_t node, milliseconds callers_patience) {
+  /// Lets a server crash under a call of a suspended node and restart before the node resumes.
+  void crash_server_while_suspended(std::size_t node, milliseconds read_timeout) {
     std::size_t const before = crashes();
     std::string const id = "slept-" + std::to_string(before);
     auto call = std::async(std::launch::async, [&] {
-      system.call_and_leave(node, "/once/x", id, k_deadly, callers_patience);
+      system.call_and_disconnect(node, "/once/x", id, k_poison_text, read_timeout);
     });
     platform_cluster::wait_until("the call is at a server",
                                  [&] { return count_arrivals(system, id) > 0; });
     system.suspend(node);
-    time_point const caller_left = boot_clock::now() + k_short_patience;
+    time_point const caller_left = boot_clock::now() + k_short_read_timeout;
     platform_cluster::wait_until("its server is back", [&] {
       return crashes() > before && are_servers_up() && boot_clock::now() > caller_left;
     });
-    system.wake(node);
+    system.resume(node);
     call.wait();
     wait_for_service(node);
   }
 
-  void end_three_servers_while_suspended(milliseconds callers_patience) {
+  void crash_three_servers_while_suspended(milliseconds read_timeout) {
     for (std::size_t number = 0; number < k_crashes_allowed; ++number) {
-      end_server_while_suspended(number % system.nodes(), callers_patience);
+      crash_server_while_suspended(number % system.nodes(), read_timeout);
     }
   }
 
-  /// @return servers that ended when the request came again, long after the third crash.
+  /// Repeats the request after the quarantine takes effect. @return number of further crashes.
   std::size_t late_crashes() {
-    time_point const bound = boot_clock::now() + k_contact;
-    platform_cluster::wait_until("the bound holds", [&] { return boot_clock::now() > bound; });
+    time_point const bound = boot_clock::now() + k_propagation_time;
+    platform_cluster::wait_until("the quarantine is in effect",
+                                 [&] { return boot_clock::now() > bound; });
     std::size_t const before = crashes();
-    for (std::size_t number = 0; number < k_late_tries; ++number) {
+    for (std::size_t number = 0; number < k_tries_after_bound; ++number) {
       std::size_t const node = number % system.nodes();
       wait_for_service(node);
-      // What it is answered is judged by what reaches the servers.
+      // The answer is ignored: the test counts arrivals at the servers.
       static_cast<void>(system.call(node, http::verb::post, "/once/x",
-                                    "late-" + std::to_string(number), k_deadly, k_patience));
+                                    "late-" + std::to_string(number), k_poison_text,
+                                    k_read_timeout));
       platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
     }
     return crashes() - before;
   }
 };
 
-TEST(suspended_crash_test, crashes_under_calls_whose_callers_have_left_count) {
-  end_three_servers_while_suspended(k_short_patience);
+TEST(suspended_crash_test, crashes_count_after_callers_disconnected) {
+  crash_three_servers_while_suspended(k_short_read_timeout);
   LONGS_EQUAL(3, crashes());
   CHECK(late_crashes() <= k_retries_allowed);
 }
 
-TEST(suspended_crash_test, crashes_under_calls_whose_callers_wait_count) {
-  end_three_servers_while_suspended(k_long_patience);
+TEST(suspended_crash_test, crashes_count_while_callers_wait) {
+  crash_three_servers_while_suspended(k_long_read_timeout);
   LONGS_EQUAL(3, crashes());
   CHECK(late_crashes() <= k_retries_allowed);
 }
 
-TEST(suspended_crash_test, calls_that_slept_beside_a_planned_restart_are_served) {
+TEST(suspended_crash_test, calls_are_served_after_planned_restarts) {
   system.set_crash_text("");
   for (std::size_t number = 0; number < k_crashes_allowed; ++number) {
     system.on_platform([&] {
@@ -157,12 +144,12 @@
     });
     platform_cluster::wait_until("servers are back", [&] { return are_servers_up(); });
     for (std::size_t node = 0; node < system.nodes(); ++node) {
-      system.call_and_leave(node, "/calls/x", "left-" + std::to_string(next_other++), "b",
-                            milliseconds(10));
+      system.call_and_disconnect(node, "/calls/x", "left-" + std::to_string(next_other++), "b",
+                                 milliseconds(10));
     }
     wait_for_service(number % system.nodes());
   }
-  time_point const bound = boot_clock::now() + k_contact;
+  time_point const bound = boot_clock::now() + k_propagation_time;
   platform_cluster::wait_until("a record would be in force",
                                [&] { return boot_clock::now() > bound; });
   for (std::size_t node = 0; node < system.nodes(); ++node) {
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -1,4 +1,4 @@
-/// @file A record store as one node reaches it: it can be cut off while other nodes are served.
+/// @file A record store decorator that simulates a partition between one node and the store.
 #pragma once
 
 #include "kv/record_store.h"
@@ -9,12 +9,12 @@
  public:
   explicit cut_off_store(kv::record_store& store) : store_(store) {}
 
-  /// Calls fail from now on; those that wait have no answer.
+  /// While set, calls fail as unavailable, including those in flight.
   void set_cut(bool cut) { cut_ = cut; }
-  /// Watches are not answered from now on, those that wait among them; all other calls are.
-  void set_deaf(bool deaf) { deaf_ = deaf; }
+  /// While set, watches time out without an answer, including those in flight; other calls succeed.
+  void set_watches_silent(bool silent) { watches_silent_ = silent; }
   std::uint64_t lists() const { return lists_; }
-  /// Lists of servers' records among them.
+  /// Number of list calls for the prefix "servers/".
   std::uint64_t server_lists() const { return server_lists_; }
   std::uint64_t watches() const { return watches_; }
   std::uint64_t probes() const { return probes_; }
@@ -28,9 +28,9 @@
     if (cut_) co_return std::error_code(kv::errc::unavailable);
     co_return answer;
   }
-  awaitable<result<bool>> has_many(std::string prefix) override {
+  awaitable<result<bool>> exceeds_one_page(std::string prefix) override {
     if (cut_) co_return std::error_code(kv::errc::unavailable);
-    co_return co_await store_.has_many(std::move(prefix));
+    co_return co_await store_.exceeds_one_page(std::move(prefix));
   }
   awaitable<result<kv::transaction_answer>> apply(kv::transaction change,
                                                   milliseconds timeout) override {
@@ -44,7 +44,7 @@
     if (cut_) co_return std::error_code(kv::errc::unavailable);
     auto batch = co_await store_.watch(std::move(prefix), after, wait);
     if (cut_) co_return std::error_code(kv::errc::unavailable);
-    if (!deaf_) co_return batch;
+    if (!watches_silent_) co_return batch;
     co_await wait_for(wait);
     co_return std::error_code(kv::errc::watch_silent);
   }
@@ -64,7 +64,7 @@
  private:
   kv::record_store& store_;
   bool cut_ = false;
-  bool deaf_ = false;
+  bool watches_silent_ = false;
   std::uint64_t lists_ = 0;
   std::uint64_t server_lists_ = 0;
   std::uint64_t watches_ = 0;
