--- a/tests/fuzz/engine_events_fuzz.cc
+++ b/tests/fuzz/engine_events_fuzz.cc
@@ -1,4 +1,4 @@
-/// @file What engines and the machine list send: event streams, load reports, lists.
+/// @file Fuzzes the parsers of engine event streams, engine load reports and the machine list.
 
 #include "engines/engine_client.h"
 #include "engines/sse_parser.h"
@@ -11,7 +11,7 @@
   for (std::string const& piece : {text.substr(0, half), text.substr(half)}) {
     for (std::string const& payload : parser.feed(piece)) {
       auto const event = frostline::engines::parse_token_event(payload);
-      // Tokens without a version must never be taken.
+      // The parser must reject tokens without a weight version.
       if (event && event->tokens > 0 && event->version == 0) __builtin_trap();
     }
   }
--- a/tests/fuzz/http_requests_fuzz.cc
+++ b/tests/fuzz/http_requests_fuzz.cc
@@ -1,4 +1,4 @@
-/// @file What callers send before it is a message: raw requests, read as the server reads them.
+/// @file Fuzzes HTTP request parsing with header and body limits.
 
 #include "http/message.h"
 
@@ -15,7 +15,7 @@
   auto const& message = parser.get();
   bool const chunked = message.chunked();
   bool const sized = message.find(field::content_length) != message.end();
-  // Both framings at once are how requests are smuggled.
+  // Accepting both framings would allow request smuggling.
   if (chunked && sized) __builtin_trap();
   return 0;
 }
--- a/tests/fuzz/kv_answers_fuzz.cc
+++ b/tests/fuzz/kv_answers_fuzz.cc
@@ -1,4 +1,4 @@
-/// @file What the key-value service sends.
+/// @file Fuzzes the decoders of the key-value service's answers.
 
 #include "base/encoding.h"
 #include "kv/codec.h"
@@ -9,7 +9,7 @@
   frostline::kv::decode_transaction(text);
   frostline::kv::decode_watch(text);
   auto const bytes = frostline::base64_decode(text);
-  // What decodes must encode to the same text.
+  // Decoding and encoding must preserve the length of the text.
   if (bytes && frostline::base64_encode(*bytes).size() != text.size()) __builtin_trap();
   return 0;
 }
--- a/tests/fuzz/rpc_messages_fuzz.cc
+++ b/tests/fuzz/rpc_messages_fuzz.cc
@@ -1,4 +1,4 @@
-/// @file What callers, trainers, operators and other nodes send: binary and JSON messages.
+/// @file Fuzzes the decoders of binary and JSON RPC messages.
 
 #include "config/store.h"
 #include "rpc/codec.h"
@@ -13,7 +13,7 @@
   rpc::decode<rpc::StoreBulkRequestT>(bytes);
   rpc::decode<rpc::GossipMessageT>(bytes);
   auto const task = rpc::decode<rpc::PutTaskRequestT>(bytes);
-  // What was read must survive being written and read again.
+  // A decoded message must decode again after it is encoded.
   if (task && !rpc::decode<rpc::PutTaskRequestT>(rpc::encode(*task))) __builtin_trap();
   static rpc::json_codec codec;
   std::string error;
--- a/tests/integration/at_most_once_test.cc
+++ b/tests/integration/at_most_once_test.cc
@@ -1,5 +1,5 @@
-/// @file A request that may not be repeated runs at most once, and one that is said not to have run
-/// has not run: resets at each byte, retries through other nodes, killed nodes, outages.
+/// @file Non-repeatable requests run at most once, and a request reported as `not_run` has not run,
+/// across connection resets, retries through other nodes, node crashes and store outages.
 
 #include <CppUTest/TestHarness.h>
 
@@ -31,10 +31,10 @@
     system.put_route("bid", "/bid/", false);
     system.put_route("lookup", "/lookup/", true);
     for (std::uint32_t node = 0; node < 3; ++node) {
-      cluster::wait_until("the routes are in force",
+      cluster::wait_until("the routes are in effect",
                           [&] { return system.status(node, true).routes.size() == 2; });
     }
-    cluster::wait_until("claims can be made", [&] {
+    cluster::wait_until("all nodes serve bids", [&] {
       bool all = true;
       for (std::uint32_t node = 0; node < 3; ++node) {
         all = all && bid(node, "warm-up-" + std::to_string(node)).status == 200;
@@ -78,7 +78,7 @@
   }
 };
 
-TEST(at_most_once_test, second_request_with_the_identifier_is_not_sent) {
+TEST(at_most_once_test, second_request_with_the_same_key_is_not_sent) {
   LONGS_EQUAL(200, bid(0, "k").status);
   for (std::uint32_t node = 0; node < 3; ++node) {
     auto const again = bid(node, "k");
@@ -103,10 +103,10 @@
     });
   }
   bool const directions[] = {true, false};
-  for (bool of_request : directions) {
+  for (bool cut_request : directions) {
     for (std::int64_t bytes = 0; bytes < 260; bytes += 4) {
       proxy_faults faults;
-      (of_request ? faults.reset_after_request_bytes : faults.reset_after_answer_bytes) = bytes;
+      (cut_request ? faults.reset_after_request_bytes : faults.reset_after_answer_bytes) = bytes;
       proxy.set(faults);
       std::string const key = "cut-" + std::to_string(number++);
       auto const first = bid(0, key);
@@ -116,11 +116,11 @@
       CHECK(count <= 1);
       if (first.run_state == "not_run") LONGS_EQUAL(0, count);
       if (first.status == 200) LONGS_EQUAL(1, count);
-      std::string const outcome = key + (of_request ? " request cut at " : " answer cut at ") +
+      std::string const outcome = key + (cut_request ? " request cut at " : " answer cut at ") +
                                   std::to_string(bytes) + ": " + std::to_string(first.status) +
                                   " " + first.reason + " " + first.run_state;
-      // A connection that is reset before a byte was passed on may fail while it is made: then the
-      // request has not run, and the answer must say just that.
+      // A reset before the first byte can make the connection attempt itself fail. The request has
+      // then not run, and the answer must say so.
       bool const refused = bytes == 0 && first.status == 503 && first.reason == "no_back_end" &&
                            first.run_state == "not_run" && count == 0;
       CHECK_TEXT(first.status == 200 || first.status == 502 || refused, outcome.c_str());
@@ -130,7 +130,8 @@
 }
 
 TEST(at_most_once_test, request_that_may_have_run_is_not_sent_to_another_back_end) {
-  // Both servers take the route; the answers of one are cut, so each of its requests may have run.
+  // Both servers serve the route. The proxy truncates the answers of one of them, so each request
+  // sent to that server may have run.
   fault_proxy proxy(system.app(0));
   system.relocate(cluster::app_name(0), proxy.listen());
   int number = 0;
@@ -139,8 +140,8 @@
     return proxy.connections() > 0;
   });
   proxy_faults faults;
-  // After one byte of the answer the request has certainly reached the server; a reset before any
-  // byte may also meet the connection while it is made, which proves that nothing ran.
+  // One byte of the answer proves that the request reached the server. A reset before any byte can
+  // also hit the connection attempt, in which case the request has not run.
   faults.reset_after_answer_bytes = 1;
   proxy.set(faults);
   int unknown = 0;
@@ -172,7 +173,7 @@
   LONGS_EQUAL(1, runs("lost"));
 }
 
-TEST(at_most_once_test, nothing_is_sent_under_a_claim_that_can_not_be_made) {
+TEST(at_most_once_test, nothing_is_sent_if_the_claim_can_not_be_written) {
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
   auto const refused = bid(0, "outage");
   LONGS_EQUAL(503, refused.status);
@@ -181,18 +182,18 @@
   LONGS_EQUAL(0, runs("outage"));
   LONGS_EQUAL(200, send(0, http::make_get("/lookup/price")).status);
   system.set_faults(system.kv(), {{"outage_ms", 0}});
-  cluster::wait_until("bids are taken again", [&] { return bid(0, "outage").status == 200; });
+  cluster::wait_until("bids are accepted again", [&] { return bid(0, "outage").status == 200; });
   LONGS_EQUAL(1, runs("outage"));
 }
 
-TEST(at_most_once_test, lost_answer_to_a_claim_is_resolved) {
+TEST(at_most_once_test, lost_answer_to_a_claim_write_is_resolved) {
   system.set_faults(system.kv(), {{"lose_answers", 1}});
   LONGS_EQUAL(200, bid(0, "resolved").status);
   LONGS_EQUAL(1, runs("resolved"));
   LONGS_EQUAL(409, bid(1, "resolved").status);
 }
 
-TEST(at_most_once_test, back_end_that_refuses_is_passed_over) {
+TEST(at_most_once_test, request_refused_by_all_back_ends_is_not_run) {
   system.set_faults(system.app(0), {{"refuse", 1}});
   system.set_faults(system.app(1), {{"refuse", 1}});
   auto const refused = bid(0, "refused");
--- a/tests/integration/bad_input_test.cc
+++ b/tests/integration/bad_input_test.cc
@@ -1,4 +1,5 @@
-/// @file Bad input gets a clear error and the node keeps serving.
+/// @file Malformed and oversized input is rejected with a specific error, and the node keeps
+/// serving.
 
 #include <CppUTest/TestHarness.h>
 
@@ -51,7 +52,7 @@
   }
 };
 
-TEST(bad_input_test, both_length_and_chunked_are_refused) {
+TEST(bad_input_test, content_length_with_chunked_encoding_is_refused) {
   check_refused(
       "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
       "0\r\n\r\n",
@@ -62,7 +63,7 @@
       "400");
 }
 
-TEST(bad_input_test, two_lengths_are_refused) {
+TEST(bad_input_test, duplicate_content_length_is_refused) {
   check_refused("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
                 "400");
 }
@@ -75,18 +76,18 @@
   check_refused("POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "400");
 }
 
-TEST(bad_input_test, oversize_parts_are_refused) {
+TEST(bad_input_test, oversized_headers_and_bodies_are_refused) {
   check_refused("GET /x HTTP/1.1\r\nA: " + std::string(40'000, 'a') + "\r\n\r\n", "431");
   check_refused("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 999999999\r\n\r\n", "413");
 }
 
-TEST(bad_input_test, half_a_request_leaves_nothing_behind) {
+TEST(bad_input_test, incomplete_request_does_not_affect_later_ones) {
   exchange("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc");
   exchange("GET /x HT");
   check_serving();
 }
 
-TEST(bad_input_test, faulty_messages_are_named) {
+TEST(bad_input_test, errors_name_the_invalid_field) {
   CHECK(post("OperatorService/PutTask", "{").starts_with("400 "));
   CHECK(post("OperatorService/PutTask", R"({"task":{"name":7}})").starts_with("400 "));
   CHECK(post("OperatorService/PutTask", "{}").find("task: is missing") != std::string::npos);
@@ -100,7 +101,7 @@
   check_serving();
 }
 
-TEST(bad_input_test, json_calls_work_by_hand) {
+TEST(bad_input_test, json_calls_are_accepted) {
   auto const put = post("OperatorService/PutTask", R"({"task":{"name":"t","model":"m"}})");
   CHECK_TRUE_TEXT(put.starts_with("200 ") && put.find("ACCEPTED") != std::string::npos,
                   put.c_str());
@@ -108,7 +109,7 @@
   CHECK(status.find("\"name\": \"t\"") != std::string::npos);
 }
 
-TEST(bad_input_test, deep_json_is_refused) {
+TEST(bad_input_test, deeply_nested_json_is_refused) {
   std::string deep = R"({"task":)";
   for (int level = 0; level < 2000; ++level) deep += R"({"later":)";
   CHECK(post("OperatorService/PutTask", deep).starts_with("400 "));
--- a/tests/integration/command_line_test.cc
+++ b/tests/integration/command_line_test.cc
@@ -1,4 +1,4 @@
-/// @file frostlinectl and `frostline --check` as an operator uses them: output and exit codes.
+/// @file Output and exit codes of `frostlinectl` and `frostline --check`.
 
 #include <CppUTest/TestHarness.h>
 
@@ -59,7 +59,7 @@
   check(control({"undrain", "backend=app-1"}), 0, "accepted at revision");
 }
 
-TEST(command_line_test, lost_race_and_old_version_are_conflicts) {
+TEST(command_line_test, stale_revision_and_older_version_are_conflicts) {
   check(control({"put-task", "name=bids", "model=m"}), 0, "accepted");
   check(control({"put-task", "name=bids", "model=m", "expected_revision=0"}), 3,
         "another change won");
@@ -67,7 +67,7 @@
   check(control({"publish", "task=bids", "version=6"}), 3, "another change won");
 }
 
-TEST(command_line_test, wrong_command_lines_are_told) {
+TEST(command_line_test, invalid_arguments_are_reported) {
   check(control({"put-tusk"}), 2, "no such command");
   check(control({"put-task", "model=m"}), 2, "missing: name");
   check(control({"put-task", "name=a", "model=m", "priorty=3"}), 2, "unknown key: priorty");
@@ -75,7 +75,7 @@
   check(run("frostlinectl", {"--node=nowhere", "status"}), 2, "--node must be IP:port");
 }
 
-TEST(command_line_test, refusals_are_told_with_their_reason) {
+TEST(command_line_test, refusals_include_the_reason) {
   check(control({"publish", "task=none", "version=1"}), 1, "not_found: no such task");
   check(control({"put-task", "name=a b", "model=m"}), 1, "malformed_request: task.name");
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
--- a/tests/integration/configuration_test.cc
+++ b/tests/integration/configuration_test.cc
@@ -1,5 +1,5 @@
-/// @file An accepted configuration is in force everywhere within seconds and never goes back:
-/// racing operators, lost answers, stale reads, gaps, outages.
+/// @file An accepted configuration change takes effect on all nodes within seconds and is never
+/// rolled back by concurrent changes, lost answers, stale reads, compaction or outages.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -25,7 +25,7 @@
   void wait_for_version(std::uint32_t node, std::uint64_t version,
                         milliseconds timeout = milliseconds(5000)) {
     cluster::wait_until(
-        "node " + std::to_string(node) + " knows version " + std::to_string(version),
+        "node " + std::to_string(node) + " reports version " + std::to_string(version),
         [&] { return version_at(node) == version; }, timeout);
   }
 
@@ -42,7 +42,7 @@
   }
 };
 
-TEST(configuration_test, change_is_in_force_everywhere_within_five_seconds) {
+TEST(configuration_test, change_takes_effect_on_all_nodes_within_five_seconds) {
   for (std::uint64_t version = 2; version < 8; ++version) {
     auto const accepted = system.publish("main", version, version % 3);
     CHECK(accepted.outcome == rpc::ChangeOutcome::ACCEPTED);
@@ -50,14 +50,14 @@
   }
 }
 
-TEST(configuration_test, version_is_accepted_by_a_node_that_has_not_heard_of_the_one_before) {
+TEST(configuration_test, version_is_accepted_by_a_node_that_has_not_seen_the_previous_one) {
   for (std::uint64_t version = 2; version < 60; ++version) {
     auto const accepted = system.publish("main", version, version % 3);
     CHECK(accepted.outcome == rpc::ChangeOutcome::ACCEPTED);
   }
 }
 
-TEST(configuration_test, of_racing_operators_one_wins_and_the_other_is_told) {
+TEST(configuration_test, concurrent_change_gets_a_conflict) {
   auto const revision = static_cast<std::int64_t>(system.status(0, true).tasks.front()->revision);
   auto const first = put_bound(0, 2, revision);
   auto const second = put_bound(1, 3, revision);
@@ -65,25 +65,25 @@
   CHECK(second.value().outcome == rpc::ChangeOutcome::CONFLICT);
   LONGS_EQUAL(first.value().revision, second.value().revision);
   for (std::uint32_t node = 0; node < 3; ++node) {
-    cluster::wait_until("the winner is in force", [&] {
+    cluster::wait_until("the accepted change is in effect", [&] {
       return system.status(node, true).tasks.front()->record->freshness_bound == 2;
     });
   }
 }
 
-TEST(configuration_test, accepted_change_with_a_lost_answer_is_accepted) {
+TEST(configuration_test, change_with_a_lost_store_answer_is_reported_as_accepted) {
   system.set_faults(system.kv(), {{"lose_answers", 1}});
   auto const change = system.publish("main", 2);
   CHECK(change.outcome == rpc::ChangeOutcome::ACCEPTED);
   wait_for_version(2, 2);
 }
 
-TEST(configuration_test, change_in_an_outage_is_refused_and_not_half_done) {
+TEST(configuration_test, change_during_an_outage_is_refused_and_not_applied) {
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
   auto const refused = put_bound(0, 9, -1);
   CHECK(refused.error().why == rpc::reason::kv_unavailable);
   system.set_faults(system.kv(), {{"outage_ms", 0}});
-  cluster::wait_until("changes are taken again", [&] {
+  cluster::wait_until("changes are accepted again", [&] {
     rpc::PublishVersionRequestT request;
     request.task = "main";
     request.version = 2;
@@ -95,7 +95,7 @@
   LONGS_EQUAL(1, system.status(0, true).tasks.front()->record->freshness_bound);
 }
 
-TEST(configuration_test, node_started_on_a_stale_store_takes_its_peers_word) {
+TEST(configuration_test, node_started_on_a_stale_store_uses_the_newer_state_of_its_peers) {
   auto const old_revision = system.status(0, true).config_revision;
   system.publish("main", 2);
   system.publish("main", 3);
@@ -104,27 +104,27 @@
   system.set_faults(system.kv(), {{"stale_revision", old_revision}});
   system.start_node(2);
   std::uint64_t highest = 0;
-  cluster::wait_until("the new node knows version 3", [&] {
-    std::uint64_t now = 0;
+  cluster::wait_until("the restarted node reports version 3", [&] {
+    std::uint64_t reported = 0;
     auto const answer = system.client().call<rpc::GetStatusRequestT, rpc::GetStatusResponseT>(
         system.node(2), "OperatorService", "GetStatus", {}, milliseconds(1000));
     if (answer && !answer.value().tasks.empty()) {
-      now = answer.value().tasks.front()->published_version;
+      reported = answer.value().tasks.front()->published_version;
     }
-    CHECK(now >= highest);
-    highest = now;
-    return now == 3;
+    CHECK(reported >= highest);
+    highest = reported;
+    return reported == 3;
   });
 }
 
-TEST(configuration_test, old_snapshot_does_not_bring_old_versions_back) {
+TEST(configuration_test, stale_snapshot_does_not_roll_versions_back) {
   auto const old_revision = system.status(0, true).config_revision;
   system.publish("main", 2);
   for (std::uint32_t node = 0; node < 3; ++node) wait_for_version(node, 2);
-  // A short outage ends all watches, so that every node reads the old state anew.
+  // A short outage ends all watches, so every node reads a snapshot again and gets the stale state.
   system.set_faults(system.kv(), {{"stale_revision", old_revision}, {"outage_ms", 200}});
   auto const reads_before = system.status(0, true);
-  cluster::wait_until("the watches have come back", [&] {
+  cluster::wait_until("node 0 has ignored a stale read", [&] {
     return system.process_log("node-0").find("Ignored a stale read") != std::string::npos;
   });
   for (std::uint32_t node = 0; node < 3; ++node) LONGS_EQUAL(2, version_at(node));
@@ -133,7 +133,7 @@
   for (std::uint32_t node = 0; node < 3; ++node) wait_for_version(node, 3);
 }
 
-TEST(configuration_test, compacted_gap_is_read_anew) {
+TEST(configuration_test, changes_missed_by_compaction_are_read_from_a_snapshot) {
   system.process("node-1").send_signal(SIGSTOP);
   for (std::uint64_t version = 2; version < 6; ++version) system.publish("main", version);
   auto const revision = system.status(0, true).config_revision;
@@ -142,14 +142,14 @@
   wait_for_version(1, 5);
 }
 
-TEST(configuration_test, node_started_in_an_outage_learns_from_peers) {
+TEST(configuration_test, node_started_during_an_outage_gets_configuration_from_peers) {
   system.put_route("lookup", "/lookup/", true);
-  cluster::wait_until("the route is in force",
+  cluster::wait_until("the route is in effect",
                       [&] { return system.status(0, true).routes.size() == 1; });
   system.process("node-2").kill();
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
   system.start_node(2);
-  cluster::wait_until("the new node serves calls", [&] {
+  cluster::wait_until("the restarted node serves calls", [&] {
     auto const answer =
         system.client().exchange(system.node(2), http::make_get("/lookup/x"), milliseconds(1000));
     return answer && answer.value().result() == http::status::ok;
@@ -157,7 +157,7 @@
   LONGS_EQUAL(1, version_at(2));
 }
 
-TEST(configuration_test, node_alone_in_an_outage_refuses_instead_of_guessing) {
+TEST(configuration_test, node_without_peers_or_store_is_not_ready) {
   for (std::uint32_t node = 0; node < 3; ++node) {
     system.process(cluster::node_name(node)).kill();
   }
--- a/tests/integration/exactly_once_test.cc
+++ b/tests/integration/exactly_once_test.cc
@@ -1,4 +1,5 @@
-/// @file Each sample reaches its trainer exactly once, whatever breaks around the commit.
+/// @file Each sample reaches its trainer exactly once when answers to commits are lost or the owner
+/// is killed or suspended around a commit.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -32,7 +33,7 @@
   }
 };
 
-TEST(exactly_once_test, lost_answers_of_commits_are_resolved) {
+TEST(exactly_once_test, lost_answers_to_commits_are_resolved) {
   trainer.submit(0, 8, 4, 64);
   wait_for_finished(0, 8);
   system.set_faults(system.kv(), {{"lose_answers", 3}});
@@ -42,7 +43,7 @@
 
 TEST(exactly_once_test, repeated_pull_hands_out_the_same_batch) {
   trainer.submit(0, 4, 4, 64);
-  cluster::wait_until("there is a batch", [&] {
+  cluster::wait_until("a batch is available", [&] {
     auto const first = trainer.pull(0);
     return first && first.value().batch;
   });
@@ -71,7 +72,7 @@
             system.node(killed), "TrainerService", "PullBatch", request, milliseconds(10'000))
         .has_value();
   });
-  system.wait_for_held_up_write("the commit is on its way");
+  system.wait_for_held_up_write("the store holds the commit back");
   system.process(cluster::node_name(killed)).kill();
   CHECK_FALSE(pulling.get());
   system.set_faults(system.kv(), {{"slow_ms", 0}});
@@ -80,23 +81,23 @@
   check_all_once(16);
 }
 
-TEST(exactly_once_test, owner_frozen_past_its_lease_can_not_deliver) {
+TEST(exactly_once_test, owner_suspended_past_its_lease_can_not_deliver) {
   trainer.submit(0, 8, 4, 64);
-  std::uint32_t const frozen = owner(0);
-  std::uint32_t const other = (frozen + 1) % 3;
+  std::uint32_t const suspended = owner(0);
+  std::uint32_t const other = (suspended + 1) % 3;
   wait_for_finished(other, 32);
   auto const before = shard_status(system, "main", 0, other);
-  system.process(cluster::node_name(frozen)).send_signal(SIGSTOP);
-  trainer.ask = {other, (frozen + 2) % 3};
+  system.process(cluster::node_name(suspended)).send_signal(SIGSTOP);
+  trainer.ask = {other, (suspended + 2) % 3};
   cluster::wait_until("another node owns the shard", [&] {
     auto const now = shard_status(system, "main", 0, other);
     return now && now->epoch > before->epoch;
   });
   trainer.pull_until(8);
-  test_trainer twin(system, "main");
-  system.process(cluster::node_name(frozen)).send_signal(SIGCONT);
-  // To the old owner the twin's first pull is in order; only the store can tell it otherwise.
-  auto const late = twin.pull(frozen, milliseconds(5000), true);
+  test_trainer second_trainer(system, "main");
+  system.process(cluster::node_name(suspended)).send_signal(SIGCONT);
+  // The previous owner sees a valid first pull. Only its commit to the store can fail.
+  auto const late = second_trainer.pull(suspended, milliseconds(5000), true);
   CHECK_FALSE(late.has_value());
   system.set_faults(system.kv(), {{"hold_watches_ms", 0}});
   trainer.ask = {0, 1, 2};
@@ -104,12 +105,12 @@
   check_all_once(32);
 }
 
-TEST(exactly_once_test, lost_disk_node_loses_no_sample) {
+TEST(exactly_once_test, samples_survive_the_loss_of_their_owner) {
   trainer.submit(0, 8, 4, 64);
-  std::uint32_t const lost = owner(0);
-  wait_for_finished((lost + 1) % 3, 16);
-  system.process(cluster::node_name(lost)).kill();
-  trainer.ask = {(lost + 1) % 3, (lost + 2) % 3};
+  std::uint32_t const killed = owner(0);
+  wait_for_finished((killed + 1) % 3, 16);
+  system.process(cluster::node_name(killed)).kill();
+  trainer.ask = {(killed + 1) % 3, (killed + 2) % 3};
   trainer.pull_until(32);
   check_all_once(32);
 }
--- a/tests/integration/freshness_test.cc
+++ b/tests/integration/freshness_test.cc
@@ -1,5 +1,5 @@
-/// @file No delivered sample is older than its task's bound, also when versions are published
-/// around the commit, around a repeated pull, around a frozen owner, and in an outage.
+/// @file No delivered sample exceeds its task's freshness bound when versions are published during
+/// a commit, before a repeated pull or while the owner is suspended, or when the store is down.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -36,7 +36,7 @@
     std::uint64_t version = 2;
     std::size_t published_at = 0;
     while (!done) {
-      // As fast as delivery goes on: faster, and no sample could be within its bound.
+      // Publishing faster than delivery would leave no sample within its bound.
       bool const due = kept >= published_at + 4;
       if (!due) {
         wait_a_moment();
@@ -61,11 +61,11 @@
   check_good(128);
 }
 
-TEST(freshness_test, commit_that_a_publish_overtakes_is_planned_anew) {
+TEST(freshness_test, commit_overtaken_by_a_publish_is_planned_again) {
   trainer.submit(0, 2, 4, 32);
   std::uint32_t const owner = wait_for_owner(system, "main", 0, 0);
   wait_for_finished(system, "main", 0, 0, 8);
-  // The commit waits in the store while two versions are published past it.
+  // The store delays the commit until two versions have been published.
   system.set_faults(system.kv(), {{"slow_prefix", "/frostline/delivery/"}, {"slow_ms", 800}});
   std::thread puller([&] {
     rpc::blocking_client client;
@@ -76,7 +76,7 @@
         system.node(owner), "TrainerService", "PullBatch", request, milliseconds(10'000));
     if (answer) trainer.keep(answer.value());
   });
-  system.wait_for_held_up_write("the commit is on its way");
+  system.wait_for_held_up_write("the store holds the commit back");
   system.publish("main", 2, (owner + 1) % 3);
   system.publish("main", 3, (owner + 1) % 3);
   puller.join();
@@ -92,7 +92,7 @@
   LONGS_EQUAL(4, first.value().batch->samples.size());
   system.publish("main", 2);
   system.publish("main", 3);
-  // The trainer crashed before it made the batch durable: it pulls with its old cursor.
+  // Simulates a trainer that crashed before it stored the batch and pulls with its old cursor.
   auto const again = trainer.pull(1);
   CHECK(again.value().batch != nullptr);
   LONGS_EQUAL(1, again.value().batch->number);
@@ -104,7 +104,7 @@
   check_good(8);
 }
 
-TEST(freshness_test, owner_frozen_while_versions_are_published) {
+TEST(freshness_test, owner_suspended_while_versions_are_published) {
   trainer.submit(0, 2, 4, 32);
   std::uint32_t const owner = wait_for_owner(system, "main", 0, 0);
   wait_for_finished(system, "main", 0, (owner + 1) % 3, 8);
@@ -118,7 +118,7 @@
   check_good(8);
 }
 
-TEST(freshness_test, outage_stops_delivery_with_an_answer_at_once) {
+TEST(freshness_test, pull_during_an_outage_fails_without_waiting) {
   trainer.submit(0, 4, 4, 32);
   wait_for_finished(system, "main", 0, 0, 8);
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
--- a/tests/integration/late_commit_test.cc
+++ b/tests/integration/late_commit_test.cc
@@ -1,5 +1,5 @@
-/// @file A commit that has taken effect and is answered late, while versions are published that
-/// make its samples too old for any later batch: they are delivered, and must be handed out.
+/// @file A committed batch is handed out even if the store's answer is late and versions published
+/// meanwhile make its samples exceed the freshness bound.
 
 #include <CppUTest/TestHarness.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A sample takes over a second, so that none can be run again while the answer is late.
+/// Samples take over a second, so none can be rerun while the store's answer is delayed.
 cluster_options very_slow_engines() {
   cluster_options options;
   options.step_us = 40'000;
--- a/tests/integration/leaving_test.cc
+++ b/tests/integration/leaving_test.cc
@@ -1,5 +1,5 @@
-/// @file A back end that leaves gets nothing new after three seconds, whoever says so; a node that
-/// hears from nobody stops sending.
+/// @file A leaving back end gets no new requests after three seconds, whichever source reports it,
+/// and a node cut off from the store and all peers stops sending requests.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -16,7 +16,7 @@
   void setup() override {
     system.put_route("lookup", "/lookup/", true);
     for (std::uint32_t node = 0; node < 3; ++node) {
-      cluster::wait_until("the route is in force",
+      cluster::wait_until("the route is in effect",
                           [&] { return system.status(node, true).routes.size() == 1; });
     }
   }
@@ -28,7 +28,7 @@
     return body ? json_text(*body, "server") : std::string();
   }
 
-  /// Calls through all nodes until three seconds and some after the back end began to leave.
+  /// Calls through all nodes for four seconds and fails if `back_end` serves a call after three.
   void check_nothing_reaches(std::string const& back_end) {
     time_point const limit = boot_clock::now() + seconds(3);
     time_point const end = limit + seconds(1);
@@ -47,14 +47,14 @@
   }
 };
 
-TEST(leaving_test, told_by_the_operator) {
+TEST(leaving_test, drained_by_the_operator) {
   system.drain("app-0");
   check_nothing_reaches("app-0");
 }
 
-TEST(leaving_test, told_by_the_machine_list_which_then_flaps) {
+TEST(leaving_test, reported_by_a_machine_list_that_flaps) {
   system.list_machine("app-0", "leaving", 1);
-  cluster::wait_until("node 0 knows", [&] {
+  cluster::wait_until("node 0 lists a leaving back end", [&] {
     auto const status = system.status(0, true);
     return !status.leaving.empty();
   });
@@ -64,17 +64,17 @@
   cluster::wait_until("the new incarnation serves", [&] { return server_of_call(0) == "app-0"; });
 }
 
-TEST(leaving_test, told_by_the_back_end_itself) {
+TEST(leaving_test, reported_by_the_back_end) {
   system.set_faults(system.app(0), {{"leaving", true}});
   check_nothing_reaches("app-0");
 }
 
-TEST(leaving_test, told_by_the_back_end_while_no_call_comes) {
-  // No answer of the back end can tell the nodes: they must look, and tell each other.
+TEST(leaving_test, reported_by_an_idle_back_end) {
+  // Without calls, nodes learn this only from health probes and from their peers.
   system.set_faults(system.app(0), {{"leaving", true}});
   for (std::uint32_t node = 0; node < 3; ++node) {
     cluster::wait_until(
-        "node " + std::to_string(node) + " knows",
+        "node " + std::to_string(node) + " lists a leaving back end",
         [&] { return !system.status(node, true).leaving.empty(); }, milliseconds(3000));
   }
   for (int call = 0; call < 20; ++call) {
@@ -83,13 +83,13 @@
   }
 }
 
-TEST(leaving_test, engine_that_says_it_leaves_gets_no_samples) {
+TEST(leaving_test, leaving_engine_gets_no_samples) {
   system.put_task("main", 1, 4, 1);
   system.publish("main", 1);
   test_trainer trainer(system, "main");
   system.set_faults(system.engine(0), {{"leaving", true}});
   system.note_leaving("engine-0");
-  cluster::wait_until("the controller knows", [&] {
+  cluster::wait_until("engine-0 is listed as leaving", [&] {
     for (auto const& engine : system.status(0).engines) {
       if (engine->id == "engine-0") return engine->state == "leaving";
     }
@@ -101,9 +101,9 @@
   CHECK_TRUE_TEXT(report.is_good(), describe(report).c_str());
 }
 
-TEST(leaving_test, node_that_hears_nobody_sends_nothing) {
-  // The key-value service is silent and the other nodes are frozen: node 0 may be the one cut off,
-  // and can't know what operators were told elsewhere.
+TEST(leaving_test, isolated_node_sends_nothing) {
+  // The store is down and the other nodes are suspended, so node 0 may be partitioned and can miss
+  // drains accepted elsewhere.
   CHECK_FALSE(server_of_call(0).empty());
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
   system.process("node-1").send_signal(SIGSTOP);
--- a/tests/integration/planned_stop_test.cc
+++ b/tests/integration/planned_stop_test.cc
@@ -1,4 +1,4 @@
-/// @file A planned stop under load cuts no request and loses no work.
+/// @file A graceful shutdown under load drops no request and loses no sample.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -17,7 +17,7 @@
   }
 };
 
-TEST(planned_stop_test, callers_samples_and_pulls_go_on_while_each_node_is_restarted) {
+TEST(planned_stop_test, rolling_restart_interrupts_no_call_sample_or_pull) {
   system.put_task("main", 2, 16, 2);
   system.put_route("lookup", "/lookup/", true);
   system.put_route("bid", "/bid/", false);
@@ -35,7 +35,7 @@
     stopped.send_signal(SIGTERM);
     LONGS_EQUAL(0, stopped.wait(30));
     system.start_node(node);
-    cluster::wait_until("the node is back", [&] {
+    cluster::wait_until("the restarted node is ready", [&] {
       auto const ready = system.client().exchange(system.node(node), http::make_get("/readyz"),
                                                   milliseconds(1000));
       return ready && ready.value().result() == http::status::ok;
@@ -47,11 +47,11 @@
   LONGS_EQUAL(384, check_run(system).samples_delivered);
 }
 
-TEST(planned_stop_test, long_samples_are_handed_over_when_the_drain_time_ends) {
+TEST(planned_stop_test, long_samples_are_handed_over_after_the_drain_timeout) {
   system.put_task("main", 5, 4, 1);
   system.publish("main", 1);
   test_trainer trainer(system, "main");
-  // About 4 s of tokens for the longest samples, of which some are always in flight.
+  // The longest samples take about 4 s, so some are in flight when the node is stopped.
   trainer.submit(0, 16, 4, 800);
   std::uint32_t const owner = wait_for_owner(system, "main", 0, 0);
   std::uint32_t stopped = owner;
@@ -69,17 +69,17 @@
   check_good();
 }
 
-TEST(planned_stop_test, stopping_node_says_so_and_still_serves) {
+TEST(planned_stop_test, stopping_node_reports_draining_and_still_serves) {
   system.put_route("lookup", "/lookup/", true);
-  cluster::wait_until("the route is in force",
+  cluster::wait_until("the route is in effect",
                       [&] { return system.status(1, true).routes.size() == 1; });
   system.process("node-1").send_signal(SIGTERM);
-  bool told = false;
+  bool draining = false;
   cluster::wait_until("readyz says draining", [&] {
     auto const ready =
         system.client().exchange(system.node(1), http::make_get("/readyz"), milliseconds(1000));
-    told = ready && ready.value().body().find("\"draining\":true") != std::string::npos;
-    return told;
+    draining = ready && ready.value().body().find("\"draining\":true") != std::string::npos;
+    return draining;
   });
   auto const answer =
       system.client().exchange(system.node(1), http::make_get("/lookup/x"), milliseconds(2000));
--- a/tests/integration/versions_test.cc
+++ b/tests/integration/versions_test.cc
@@ -1,5 +1,5 @@
-/// @file Each sample names exactly the versions that produced it, across swaps in the middle of a
-/// sample, partly failed swaps, crashes, restarts and frozen controllers.
+/// @file Each sample lists exactly the weight versions that produced it, across swaps during a
+/// sample, partly failed swaps, crashes, restarts and suspended controllers.
 
 #include <CppUTest/TestHarness.h>
 #include <signal.h>
@@ -49,7 +49,7 @@
   }
 };
 
-TEST(versions_test, swap_in_the_middle_of_samples_is_named) {
+TEST(versions_test, sample_lists_both_versions_of_a_swap) {
   trainer.submit(0, 16, 4, 400);
   wait_for_running("engine-0");
   system.publish("main", 2);
@@ -57,7 +57,7 @@
   CHECK(check_good(64).samples_spanning_versions > 0);
 }
 
-TEST(versions_test, partly_failed_swap_is_told_and_tried_again) {
+TEST(versions_test, partly_failed_swap_is_reported_and_retried) {
   wait_for_version("engine-0", 1);
   wait_for_version("engine-1", 1);
   system.set_faults(system.engine(0), {{"fail_loads", 4}});
@@ -73,7 +73,7 @@
   check_good(64);
 }
 
-TEST(versions_test, samples_of_a_killed_engine_go_on_elsewhere) {
+TEST(versions_test, samples_of_a_killed_engine_continue_on_another) {
   trainer.submit(0, 16, 4, 400);
   wait_for_running("engine-0");
   system.process("engine-0").kill();
@@ -82,7 +82,7 @@
   CHECK(check_good(64).samples_spanning_versions > 0);
 }
 
-TEST(versions_test, restarted_engine_is_brought_up_to_date) {
+TEST(versions_test, restarted_engine_loads_the_published_version) {
   wait_for_version("engine-0", 1);
   system.publish("main", 2);
   wait_for_version("engine-0", 2);
@@ -94,17 +94,17 @@
   check_good(64);
 }
 
-TEST(versions_test, late_answers_of_a_frozen_controller_are_ignored) {
+TEST(versions_test, late_answers_of_a_suspended_controller_are_ignored) {
   wait_for_version("engine-0", 1);
   wait_for_version("engine-1", 1);
   std::uint32_t const shard_owner = wait_for_owner(system, "main", 0, 0);
   std::string controller;
   std::string engine;
-  for (auto const& one : system.status(0).engines) {
-    bool const controlled = !one->controller.empty();
-    if (!controlled || index_of(one->controller) == shard_owner) continue;
-    controller = one->controller;
-    engine = one->id;
+  for (auto const& status : system.status(0).engines) {
+    bool const controlled = !status->controller.empty();
+    if (!controlled || index_of(status->controller) == shard_owner) continue;
+    controller = status->controller;
+    engine = status->id;
   }
   CHECK_FALSE(controller.empty());
   trainer.submit(0, 16, 4, 400);
--- a/tests/integration/whole_answer_test.cc
+++ b/tests/integration/whole_answer_test.cc
@@ -1,5 +1,5 @@
-/// @file A caller gets the whole answer to its own request, or an error: truncated and late
-/// answers, reused connections, pipelined callers.
+/// @file A caller gets the complete answer to its own request or an error, with truncated or late
+/// answers, reused connections and pipelined requests.
 
 #include <CppUTest/TestHarness.h>
 
@@ -25,9 +25,9 @@
              std::uint32_t deadline_ms) {
     auto const change =
         system.put_route_to(name, "/" + name + "/", repeatable, std::move(back_ends), deadline_ms);
-    cluster::wait_until("the route is in force", [&] {
-      for (auto const& held : system.status(0, true).routes) {
-        if (held->record->name == name) return held->revision >= change.revision;
+    cluster::wait_until("the route is in effect", [&] {
+      for (auto const& route_status : system.status(0, true).routes) {
+        if (route_status->record->name == name) return route_status->revision >= change.revision;
       }
       return false;
     });
@@ -43,20 +43,20 @@
   }
 };
 
-TEST(whole_answer_test, truncated_answer_is_tried_elsewhere) {
+TEST(whole_answer_test, truncated_answer_is_retried_on_another_back_end) {
   system.set_faults(system.app(0), {{"truncate_answers", 1}});
   system.set_faults(system.app(1), {{"truncate_answers", 1}});
   for (int number = 0; number < 10; ++number) {
     std::string const target = "/lookup/" + std::to_string(number);
     auto const answer = get(target);
-    bool const whole = answer && answer.value().result() == http::status::ok;
+    bool const complete = answer && answer.value().result() == http::status::ok;
     bool const failed = answer && answer.value().result() == http::status::bad_gateway;
-    CHECK(whole || failed);
-    if (whole) STRCMP_EQUAL(target.c_str(), target_of(answer.value()).c_str());
+    CHECK(complete || failed);
+    if (complete) STRCMP_EQUAL(target.c_str(), target_of(answer.value()).c_str());
   }
 }
 
-TEST(whole_answer_test, truncated_answer_is_never_passed_on) {
+TEST(whole_answer_test, truncated_answer_is_never_forwarded) {
   route("lookup", true, {"app-0"}, 2000);
   system.set_faults(system.app(0), {{"truncate_answers", 3}});
   for (int number = 0; number < 3; ++number) {
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(whole_answer_test, answers_cut_at_any_byte_are_not_passed_on_as_whole) {
+TEST(whole_answer_test, answer_truncated_at_any_byte_is_not_forwarded_as_complete) {
   fault_proxy proxy(system.app(0));
   system.relocate("app-0", proxy.listen());
   route("lookup", true, {"app-0"}, 2000);
@@ -99,9 +99,9 @@
     proxy.set(faults);
     std::string const target = "/lookup/" + std::to_string(bytes);
     auto const answer = get(target);
-    bool const whole = answer.value().result() == http::status::ok;
-    if (whole) STRCMP_EQUAL(target.c_str(), target_of(answer.value()).c_str());
-    CHECK(whole || answer.value().result() == http::status::bad_gateway ||
+    bool const complete = answer.value().result() == http::status::ok;
+    if (complete) STRCMP_EQUAL(target.c_str(), target_of(answer.value()).c_str());
+    CHECK(complete || answer.value().result() == http::status::bad_gateway ||
           answer.value().result() == http::status::service_unavailable);
   }
 }
@@ -114,15 +114,15 @@
   }
   connection.send(requests);
   std::string const answers = connection.read("/lookup/p4");
-  std::size_t place = 0;
+  std::size_t position = 0;
   for (int number = 0; number < 5; ++number) {
-    std::size_t const found = answers.find("/lookup/p" + std::to_string(number), place);
+    std::size_t const found = answers.find("/lookup/p" + std::to_string(number), position);
     CHECK(found != std::string::npos);
-    place = found;
+    position = found;
   }
 }
 
-TEST(whole_answer_test, many_callers_at_once_get_their_own) {
+TEST(whole_answer_test, concurrent_callers_get_their_own_answers) {
   std::atomic<int> wrong{0};
   std::atomic<int> right{0};
   std::vector<std::thread> threads;
--- a/tests/integration/whole_path_test.cc
+++ b/tests/integration/whole_path_test.cc
@@ -1,5 +1,5 @@
-/// @file From a trainer's prompts and callers' requests to delivered batches and answers, through
-/// real processes.
+/// @file End-to-end test with real processes: a trainer's prompts become delivered batches, and
+/// callers' requests are answered.
 
 #include <CppUTest/TestHarness.h>
 
