--- a/src/bulk/client.cc
+++ b/src/bulk/client.cc
@@ -20,26 +20,27 @@
   void add(rpc::LoadBulkResponseT part) {
     for (auto& group : part.groups) {
       auto& counted_item = groups_[group->group];
-      ++counted_item.copies;
+      ++counted_item.replicas;
       if (!counted_item.item) counted_item.item = std::move(group);
     }
     for (auto& sample : part.samples) {
       auto& counted_item = samples_[{sample->group, sample->index, sample->attempt}];
-      ++counted_item.copies;
+      ++counted_item.replicas;
       if (!counted_item.item) counted_item.item = std::move(sample);
     }
   }
 
-  void finish(std::size_t required_copies, recovered_bulk& target) {
-    move_items(groups_, required_copies, target.content.groups, target.under_replicated.groups);
-    move_items(samples_, required_copies, target.content.samples, target.under_replicated.samples);
+  void finish(std::size_t required_replicas, recovered_bulk& target) {
+    move_items(groups_, required_replicas, target.content.groups, target.under_replicated.groups);
+    move_items(samples_, required_replicas, target.content.samples,
+               target.under_replicated.samples);
   }
 
  private:
   template <class Item>
   struct counted {
     std::unique_ptr<Item> item;
-    std::size_t copies = 0;
+    std::size_t replicas = 0;
   };
   struct sample_copy_key {
     std::uint64_t group;
@@ -50,11 +51,11 @@
   };
 
   template <class Key, class Item>
-  static void move_items(std::map<Key, counted<Item>>& from, std::size_t required_copies,
+  static void move_items(std::map<Key, counted<Item>>& from, std::size_t required_replicas,
                          std::vector<std::unique_ptr<Item>>& all,
                          std::vector<std::unique_ptr<Item>>& under_replicated) {
     for (auto& [key, counted_item] : from) {
-      if (counted_item.copies < required_copies)
+      if (counted_item.replicas < required_replicas)
         under_replicated.push_back(std::make_unique<Item>(*counted_item.item));
       all.push_back(std::move(counted_item.item));
     }
@@ -110,13 +111,13 @@
 awaitable<bool> client::put(rpc::StoreBulkRequestT request) {
   std::string const shard = config::shard_name(request.task, request.shard);
   std::vector<replica> const replicas = order_replicas(shard, live_replicas());
-  std::size_t copies = 0;
+  std::size_t stored_replicas = 0;
   for (replica const& target : replicas) {
     bool const stored = co_await store_on_replica(target, request);
-    if (stored && ++copies == copies_) co_return true;
+    if (stored && ++stored_replicas == replica_count_) co_return true;
   }
   log_line(log_level::warning, k_part, "Too few disk nodes stored a replica.",
-           {{"shard", shard}, {"copies", copies}, {"wanted", copies_}});
+           {{"shard", shard}, {"copies", stored_replicas}, {"wanted", replica_count_}});
   co_return false;
 }
 
@@ -152,7 +153,7 @@
   }
   recovered.under_replicated.task = request.task;
   recovered.under_replicated.shard = shard;
-  merger.finish(copies_, recovered);
+  merger.finish(replica_count_, recovered);
   co_return recovered;
 }
 
--- a/src/bulk/client.h
+++ b/src/bulk/client.h
@@ -38,14 +38,14 @@
  public:
   /// @param self this node as a replica.
   /// @param local the store of this node, or null if it has no data folder.
-  /// @param copies number of disk nodes that must store each item.
+  /// @param replica_count number of disk nodes that must store each item.
   client(http::client& transport, membership::table const& members, replica self, store* local,
-         std::size_t copies)
+         std::size_t replica_count)
       : transport_(transport),
         members_(members),
         self_(std::move(self)),
         local_(local),
-        copies_(copies) {}
+        replica_count_(replica_count) {}
 
   /// Stores the request on the configured number of disk nodes.
   /// @return false if fewer disk nodes stored it.
@@ -65,7 +65,7 @@
   membership::table const& members_;
   replica self_;
   store* local_;
-  std::size_t copies_;
+  std::size_t replica_count_;
 };
 
 }  // namespace frostline::bulk
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -258,9 +258,9 @@
   timer.mark("runs", boot_clock::now());
   bool const store_unavailable =
       now > dependencies_.lease.confirmed_at() + k_store_outage_threshold;
-  std::size_t const copies =
+  std::size_t const replica_count =
       store_unavailable ? progress_sender::k_replicas_in_outage : progress_sender::k_replicas;
-  progress_.advance(table_, dependencies_.lease.epoch(), copies, now);
+  progress_.advance(table_, dependencies_.lease.epoch(), replica_count, now);
   timer.mark("progress", boot_clock::now());
   if (state_ == owner_state::active) update_records(timer, now);
   log_slow_iteration(timer);
--- a/src/jobs/progress_replica.cc
+++ b/src/jobs/progress_replica.cc
@@ -125,12 +125,12 @@
   return best;
 }
 
-void progress_sender::choose_replicas(std::size_t copies, time_point now) {
+void progress_sender::choose_replicas(std::size_t replica_count, time_point now) {
   std::erase_if(peers_, [&](auto const& entry) {
     return now - entry.second.last_seen_at > k_peer_expiry && !replicas_.contains(entry.first);
   });
   std::set<endpoint> chosen;
-  while (chosen.size() < copies) {
+  while (chosen.size() < replica_count) {
     auto const next = choose_best_peer(chosen, now);
     if (!next) break;
     chosen.insert(*next);
@@ -167,10 +167,10 @@
   return report;
 }
 
-void progress_sender::advance(job_table& table, std::uint64_t epoch, std::size_t copies,
+void progress_sender::advance(job_table& table, std::uint64_t epoch, std::size_t replica_count,
                               time_point now) {
   if (pending_replies_ > 0 || now - last_sent_at_ < k_report_interval) return;
-  choose_replicas(copies, now);
+  choose_replicas(replica_count, now);
   if (replicas_.empty()) return;
   auto report = make_report(table, epoch);
   bool const idle = report.entries.empty();
--- a/src/jobs/progress_replica.h
+++ b/src/jobs/progress_replica.h
@@ -71,8 +71,8 @@
   void note_peer(endpoint const& where, std::string const& zone, milliseconds uptime,
                  double processor_share, time_point now);
   /// Sends the changes if a report is due and none is in flight.
-  /// @param copies wanted number of replicas.
-  void advance(job_table& table, std::uint64_t epoch, std::size_t copies, time_point now);
+  /// @param replica_count wanted number of replicas.
+  void advance(job_table& table, std::uint64_t epoch, std::size_t replica_count, time_point now);
   /// Sends the remaining changes and waits for the replies.
   awaitable<void> finish(job_table& table, std::uint64_t epoch);
   /// Starts a new term of ownership; the next report holds full texts.
@@ -93,7 +93,7 @@
   /// Chooses the replicas. Prefers nodes with the largest processor share, since they are preferred
   /// as the next owner; then processes that started much later, since a rolling restart reaches
   /// them last; then current replicas; then nodes in the same zone.
-  void choose_replicas(std::size_t copies, time_point now);
+  void choose_replicas(std::size_t replica_count, time_point now);
   /// The best eligible peer outside `excluded`.
   std::optional<endpoint> choose_best_peer(std::set<endpoint> const& excluded,
                                            time_point now) const;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -81,7 +81,7 @@
   routing::leaving_tracker leaving_;
   std::unique_ptr<bulk::store> bulk_store_;
   std::unique_ptr<bulk::client> bulk_;
-  std::unique_ptr<ownership::ownership_manager> keeper_;
+  std::unique_ptr<ownership::ownership_manager> ownership_manager_;
   std::unique_ptr<rollout::node_dependencies> rollout_dependencies_;
   std::unique_ptr<rollout::service> rollout_;
   std::unique_ptr<operators::service> operators_;
@@ -109,7 +109,7 @@
 node::components::components(asio::io_context& context, settings node_settings)
     : settings_(std::move(node_settings)), context_(context) {
   ownership::identity const self{settings_.id, incarnation_, settings_.zone};
-  keeper_ = std::make_unique<ownership::ownership_manager>(
+  ownership_manager_ = std::make_unique<ownership::ownership_manager>(
       context_, kv_, config_, config_sync_, members_, self, settings_.listen.to_string(),
       [this] { return rollout_->list_resources(); });
   routing::proxy_hooks hooks;
@@ -141,8 +141,8 @@
   bulk_ = std::make_unique<bulk::client>(transport_, members_, replica, bulk_store_.get(),
                                          settings_.bulk_copies);
   rollout_dependencies_ = std::make_unique<rollout::node_dependencies>(rollout::node_dependencies{
-      context_, kv_, transport_, config_, config_sync_, members_, *keeper_, machines_, leaving_,
-      *bulk_, settings_.zone, settings_.placement, settings_.listen.to_string(), nullptr,
+      context_, kv_, transport_, config_, config_sync_, members_, *ownership_manager_, machines_,
+      leaving_, *bulk_, settings_.zone, settings_.placement, settings_.listen.to_string(), nullptr,
       [this] { return is_cut_off(); }});
   rollout_ =
       std::make_unique<rollout::service>(*rollout_dependencies_, leaving_, bulk_store_.get());
@@ -169,7 +169,7 @@
   machines_.on_change([this] { apply_machine_list(); });
   config_sync_.start();
   machines_.start();
-  keeper_->start();
+  ownership_manager_->start();
   claims_.start();
   health_watch_.start();
   spawn(context_, seed_loop());
@@ -337,7 +337,7 @@
   while (rollout_->has_busy_owners() && boot_clock::now() < deadline) {
     co_await wait_for(k_drain_poll_interval);
   }
-  co_await keeper_->release_all();
+  co_await ownership_manager_->release_all();
   gossip_.announce_leave();
   co_await wait_for(k_leave_notice_wait);
   co_await wait_until_idle(deadline - k_handover_margin);
--- a/src/ownership/owner_lease.cc
+++ b/src/ownership/owner_lease.cc
@@ -117,7 +117,7 @@
     if (record.key == orderer_key_of(resource_)) note_orderer(record);
     if (record.key != key_of(resource_)) continue;
     apply_owner_record(&record);
-    // The follower may already have delivered this revision, and delivers it only once.
+    // The watcher may already have delivered this revision, and delivers it only once.
     bool const already_delivered = record.mod_revision == followed_revision_;
     if (!already_delivered) seen_by_refused_claim_at_ = boot_clock::now();
   }
@@ -246,7 +246,7 @@
   change.on_success.push_back(std::move(put));
   valid_until_ = sent_at + options_.time_to_live - options_.safety_margin;
   auto outcome = co_await store_.apply(std::move(change), k_transaction_timeout);
-  if (state_ == lease_state::owner) co_return true;  // the follower delivered the record first
+  if (state_ == lease_state::owner) co_return true;  // the watcher delivered the record first
   if (outcome && outcome.value().succeeded) {
     confirmed_at_ = sent_at;
     become_owner(outcome.value().store_revision);
@@ -254,7 +254,7 @@
   }
   bool const refused = outcome && !outcome.value().succeeded;
   if (refused) apply_current_records(outcome.value().read);
-  // After an unknown outcome the record may still appear; the follower then delivers it.
+  // After an unknown outcome the record may still appear; the watcher then delivers it.
   if (state_ == lease_state::owner) co_return true;
   lease_ = 0;
   co_return false;
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -72,9 +72,10 @@
   static std::optional<std::string> resource_of_orderer_key(std::string const& key);
 
   void start();
-  /// Takes the owner record as delivered by the follower of the owners; null if there is none.
+  /// Takes the owner record as delivered by the watcher of the owners' records; null if there is
+  /// none.
   void note_record(kv::key_value const* record);
-  /// Takes the orderer record as delivered by the follower of the owners.
+  /// Takes the orderer record as delivered by the watcher of the owners' records.
   void note_orderer(kv::key_value const& record);
   /// Ends the lease and never acquires the resource again.
   awaitable<void> release();
@@ -120,7 +121,7 @@
   /// Applies the current records that the store returned with a refused transaction.
   void apply_current_records(std::vector<kv::key_value> const& records);
   void apply_owner_record(kv::key_value const* record);
-  /// Forgets an owner that the follower has not confirmed within a lease time, so that this node
+  /// Forgets an owner that the watcher has not confirmed within a lease time, so that this node
   /// tries to acquire the resource again.
   void forget_unconfirmed_owner();
   void stop_owning(std::string_view cause);
@@ -141,10 +142,10 @@
   time_point may_have_ordered_until_;
   milliseconds order_gap_{3000};
   std::optional<known_owner> owner_;
-  /// When a refused acquisition revealed the owner; reset when the follower delivers its record. If
-  /// the record is deleted before the follower sees it, no deletion is delivered either.
+  /// When a refused acquisition revealed the owner; reset when the watcher delivers its record. If
+  /// the record is deleted before the watcher sees it, no deletion is delivered either.
   std::optional<time_point> seen_by_refused_claim_at_;
-  /// Revision of the owner record as last delivered by the follower; 0 if there was none.
+  /// Revision of the owner record as last delivered by the watcher; 0 if there was none.
   kv::revision followed_revision_ = 0;
   /// Revision of the last known owner record.
   kv::revision record_revision_ = 0;
--- a/src/quarantine/suspect_table.h
+++ b/src/quarantine/suspect_table.h
@@ -18,7 +18,7 @@
 
 namespace frostline::quarantine {
 
-/// Number of servers that a request may end before it is quarantined.
+/// Number of servers that a request may crash before it is quarantined.
 inline constexpr std::uint32_t k_crash_threshold = 3;
 
 /// A server that ended while it ran a request.
--- a/src/relay/store_source.cc
+++ b/src/relay/store_source.cc
@@ -15,7 +15,7 @@
 constexpr milliseconds k_probe_timeout{300};
 constexpr milliseconds k_retry_backoff{100};
 /// How long a change that peers know may take to reach this node's own watch. Relays receive a
-/// change within milliseconds of each other; a follower pauses up to 0.4 s between watches.
+/// change within milliseconds of each other; a watcher pauses up to 0.4 s between watches.
 constexpr milliseconds k_expected_change_timeout{700};
 
 /// Routing and admission depend on the configuration and the servers, so these use prompt watches.
@@ -61,8 +61,8 @@
 }
 
 bool store_source::follows_any() const {
-  return std::any_of(followers_.begin(), followers_.end(),
-                     [](auto const& prefix_watcher) { return prefix_watcher != nullptr; });
+  return std::any_of(watchers_.begin(), watchers_.end(),
+                     [](auto const& watcher) { return watcher != nullptr; });
 }
 
 void store_source::set_pause(topic topic_id, milliseconds pause) {
@@ -114,8 +114,8 @@
 void store_source::resynchronize(std::string_view cause) {
   if (!follows_any()) return;
   log_line(log_level::warning, k_part, "Reading all followed records again.", {{"cause", cause}});
-  for (auto const& prefix_watcher : followers_) {
-    if (prefix_watcher) prefix_watcher->resynchronize();
+  for (auto const& watcher : watchers_) {
+    if (watcher) watcher->resynchronize();
   }
 }
 
--- a/src/relay/store_source.h
+++ b/src/relay/store_source.h
@@ -60,10 +60,10 @@
 
  private:
   std::shared_ptr<kv::prefix_watcher>& slot(topic topic_id) {
-    return followers_[index_of(topic_id)];
+    return watchers_[index_of(topic_id)];
   }
   std::shared_ptr<kv::prefix_watcher> const& slot(topic topic_id) const {
-    return followers_[index_of(topic_id)];
+    return watchers_[index_of(topic_id)];
   }
   /// Probes the store while any topic is followed.
   awaitable<void> probe_loop();
@@ -75,7 +75,7 @@
   kv::record_store& store_;
   topic_prefixes prefixes_;
   source_callbacks callbacks_;
-  std::array<std::shared_ptr<kv::prefix_watcher>, k_topics.size()> followers_;
+  std::array<std::shared_ptr<kv::prefix_watcher>, k_topics.size()> watchers_;
   std::array<milliseconds, k_topics.size()> pauses_{};
   /// Newest revision that peers know of each topic and this node's watch still lacks; 0 if none.
   std::array<kv::revision, k_topics.size()> expected_{};
--- a/tests/unit/jobs/progress_replica_test.cc
+++ b/tests/unit/jobs/progress_replica_test.cc
@@ -118,7 +118,7 @@
 // A restarted owner adopts a replica that is ahead of its own new runs. The next owner must not
 // receive a mix of both texts.
 TEST(progress_replica_test, text_adopted_after_reports_of_another_run_is_reported_in_full) {
-  run_events(0, 3, "former");
+  run_events(0, 3, "previous");
   progress_replica previous_replica;
   CHECK(previous_replica.take(report(1), now));
   job_table restarted_table;
@@ -130,7 +130,8 @@
     owner_table.adopt(progress, now);
   run_events(4, 4, "next");
   CHECK(replica.take(report(2), now));
-  STRCMP_EQUAL("former0\nformer1\nformer2\nformer3\nnext4", transfer_to_next_owner().text.c_str());
+  STRCMP_EQUAL("previous0\nprevious1\nprevious2\nprevious3\nnext4",
+               transfer_to_next_owner().text.c_str());
 }
 
 TEST(progress_replica_test,
--- a/tests/unit/quarantine/quarantine_list_test.cc
+++ b/tests/unit/quarantine/quarantine_list_test.cc
@@ -143,8 +143,8 @@
 TEST(quarantine_list_test, oldest_record_is_evicted_first) {
   for (std::size_t number = 0; number <= quarantine_list::k_max_entries; ++number) {
     CHECK(list.entry_to_evict() == nullptr);
-    auto const one = fingerprint::of({"", "host", "POST", "/", std::to_string(number)});
-    list.put({one, 100 + number, {}, 0}, start);
+    auto const request = fingerprint::of({"", "host", "POST", "/", std::to_string(number)});
+    list.put({request, 100 + number, {}, 0}, start);
   }
   CHECK(list.entry_to_evict() != nullptr);
   LONGS_EQUAL(100, list.entry_to_evict()->revision);
