--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -13,9 +13,9 @@
 #include <set>
 #include <thread>
 
-#include "deadly_requests.h"
 #include "http/json_fields.h"
 #include "platform_cluster.h"
+#include "poison_requests.h"
 #include "soak_checker.h"
 #include "soak_faults.h"
 
--- a/rehearsal/deadly_requests.cc
+++ b/rehearsal/poison_requests.cc
@@ -1,4 +1,4 @@
-#include "deadly_requests.h"
+#include "poison_requests.h"
 
 #include <algorithm>
 
--- a/rehearsal/soak_faults.h
+++ b/rehearsal/soak_faults.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "deadly_requests.h"
 #include "platform_cluster.h"
+#include "poison_requests.h"
 
 namespace frostline::testing {
 
--- a/src/calls/give_up.cc
+++ b/src/calls/call_failure.cc
@@ -1,4 +1,4 @@
-#include "calls/give_up.h"
+#include "calls/call_failure.h"
 
 #include <algorithm>
 #include <string>
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -9,10 +9,10 @@
 #include <set>
 #include <string>
 
+#include "calls/call_failure.h"
 #include "calls/caller.h"
 #include "calls/event_stream.h"
 #include "calls/exchange.h"
-#include "calls/give_up.h"
 #include "calls/route_table.h"
 #include "calls/server_selector.h"
 #include "directory/server_directory.h"
--- a/src/gateway/directory_updater.h
+++ b/src/gateway/directory_updater.h
@@ -12,7 +12,7 @@
 #include "base/asio.h"
 #include "directory/server_directory.h"
 #include "gateway/adapter.h"
-#include "kv/follower.h"
+#include "kv/prefix_watcher.h"
 #include "relay/record_view.h"
 
 namespace frostline::gateway {
--- a/src/gateway/operator_request_reader.h
+++ b/src/gateway/operator_request_reader.h
@@ -10,7 +10,7 @@
 #include "base/asio.h"
 #include "gateway/adapter.h"
 #include "gateway/pool_registry.h"
-#include "kv/follower.h"
+#include "kv/prefix_watcher.h"
 
 namespace frostline::gateway {
 
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -7,7 +7,7 @@
 #include "base/asio.h"
 #include "base/endpoint.h"
 #include "http/client.h"
-#include "kv/breaker.h"
+#include "kv/circuit_breaker.h"
 #include "kv/errc.h"
 #include "kv/types.h"
 
--- a/src/kv/follower.cc
+++ b/src/kv/prefix_watcher.cc
@@ -1,4 +1,4 @@
-#include "kv/follower.h"
+#include "kv/prefix_watcher.h"
 
 #include <algorithm>
 
--- a/src/load/hollow.cc
+++ b/src/load/emulation.cc
@@ -1,4 +1,4 @@
-#include "load/hollow.h"
+#include "load/emulation.h"
 
 #include <sys/resource.h>
 #include <time.h>
--- a/src/load/main.cc
+++ b/src/load/main.cc
@@ -11,7 +11,7 @@
 #include "base/log.h"
 #include "load/callers.h"
 #include "load/checker.h"
-#include "load/hollow.h"
+#include "load/emulation.h"
 #include "load/trainer.h"
 #include "rpc/blocking.h"
 
--- a/src/quarantine/evidence_keeper.cc
+++ b/src/quarantine/evidence_writer.cc
@@ -1,4 +1,4 @@
-#include "quarantine/evidence_keeper.h"
+#include "quarantine/evidence_writer.h"
 
 #include <algorithm>
 
--- a/src/relay/poll_service.cc
+++ b/src/relay/poll_service.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "relay/part_codec.h"
+#include "relay/subset_codec.h"
 
 namespace frostline::relay {
 namespace {
--- a/src/relay/poll_service.h
+++ b/src/relay/poll_service.h
@@ -6,7 +6,7 @@
 
 #include "base/asio.h"
 #include "base/endpoint.h"
-#include "relay/asking_nodes.h"
+#include "relay/polling_nodes.h"
 #include "relay/topic_views.h"
 #include "rpc/dispatcher.h"
 #include "schema/frostline_generated.h"
--- a/src/relay/asking_nodes.cc
+++ b/src/relay/polling_nodes.cc
@@ -1,4 +1,4 @@
-#include "relay/asking_nodes.h"
+#include "relay/polling_nodes.h"
 
 #include <tuple>
 
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -22,9 +22,9 @@
 #include "relay/peer_picker.h"
 #include "relay/peer_poll.h"
 #include "relay/poll_service.h"
+#include "relay/relay_registration.h"
 #include "relay/store_source.h"
 #include "relay/topic_views.h"
-#include "relay/zone_record.h"
 #include "relay/zone_relays.h"
 #include "rpc/dispatcher.h"
 
--- a/src/relay/zone_record.cc
+++ b/src/relay/relay_registration.cc
@@ -1,4 +1,4 @@
-#include "relay/zone_record.h"
+#include "relay/relay_registration.h"
 
 #include "base/log.h"
 
--- a/src/relay/store_source.h
+++ b/src/relay/store_source.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "base/asio.h"
-#include "kv/follower.h"
+#include "kv/prefix_watcher.h"
 #include "relay/topics.h"
 
 namespace frostline::relay {
--- a/src/relay/part_codec.cc
+++ b/src/relay/subset_codec.cc
@@ -1,4 +1,4 @@
-#include "relay/part_codec.h"
+#include "relay/subset_codec.h"
 
 namespace frostline::relay {
 
--- a/src/relay/topic_views.h
+++ b/src/relay/topic_views.h
@@ -7,7 +7,7 @@
 #include <functional>
 
 #include "base/time.h"
-#include "kv/follower.h"
+#include "kv/prefix_watcher.h"
 #include "relay/record_view.h"
 #include "relay/topics.h"
 
--- a/tests/unit/calls/give_up_test.cc
+++ b/tests/unit/calls/give_up_test.cc
@@ -1,9 +1,9 @@
 /// @file Tests for the Retry-After header of requests without a server's answer.
 
-#include "calls/give_up.h"
-
 #include <CppUTest/TestHarness.h>
 
+#include "calls/call_failure.h"
+
 using namespace frostline;
 using namespace frostline::calls;
 
--- a/tests/unit/kv/follower_test.cc
+++ b/tests/unit/kv/follower_test.cc
@@ -1,11 +1,10 @@
 /// @file Tests that a prefix_watcher keeps its view consistent with the store.
 
-#include "kv/follower.h"
-
 #include <CppUTest/TestHarness.h>
 
 #include <set>
 
+#include "kv/prefix_watcher.h"
 #include "memory_record_store.h"
 
 using namespace frostline;
--- a/tests/unit/kv/kv_breaker_test.cc
+++ b/tests/unit/kv/kv_breaker_test.cc
@@ -1,6 +1,6 @@
 #include <CppUTest/TestHarness.h>
 
-#include "kv/breaker.h"
+#include "kv/circuit_breaker.h"
 
 using namespace frostline;
 
--- a/tests/unit/quarantine/evidence_keeper_test.cc
+++ b/tests/unit/quarantine/evidence_keeper_test.cc
@@ -1,10 +1,9 @@
 /// @file When crash evidence is written to the record store, and how often.
 
-#include "quarantine/evidence_keeper.h"
-
 #include <CppUTest/TestHarness.h>
 
 #include "memory_record_store.h"
+#include "quarantine/evidence_writer.h"
 
 using namespace frostline;
 using namespace frostline::quarantine;
--- a/tests/unit/relay/asking_nodes_test.cc
+++ b/tests/unit/relay/asking_nodes_test.cc
@@ -1,9 +1,9 @@
 /// @file Selection of the node that replaces a stopping relay.
 
-#include "relay/asking_nodes.h"
-
 #include <CppUTest/TestHarness.h>
 
+#include "relay/polling_nodes.h"
+
 using namespace frostline;
 using namespace frostline::relay;
 
--- a/tests/unit/relay/poll_service_test.cc
+++ b/tests/unit/relay/poll_service_test.cc
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "base/encoding.h"
-#include "relay/part_codec.h"
+#include "relay/subset_codec.h"
 
 using namespace frostline;
 using namespace frostline::relay;
