--- a/src/engines/controller.h
+++ b/src/engines/controller.h
@@ -16,14 +16,14 @@
 namespace frostline::engines {
 
 /// Lifecycle of a controlled engine.
-/// unknown -> loading (a load order was sent) -> ready (all wanted versions are loaded);
-/// any state -> unreachable (load reports missing), then back to loading; any state -> leaving,
-/// which is final for an incarnation.
+/// unknown (no load report yet) -> loading (a wanted version is missing) -> ready (all wanted
+/// versions are loaded); any state -> unreachable (consecutive load reports are missing) -> loading
+/// (a report arrives); any state -> leaving (the engine reports that it is leaving).
 enum class engine_state { unknown, loading, ready, unreachable, leaving };
 
 std::string_view to_string(engine_state state);
 
-/// Newest published version of a model, and where its weights are.
+/// Newest published version of a model, and the location of that version's weights.
 struct wanted_version {
   std::uint64_t version = 0;
   std::string weights;
@@ -40,15 +40,17 @@
              routing::leaving_tracker& leaving, machines::machine machine, kv::revision epoch);
 
   void start();
-  /// Ends control after a loss of ownership. Samples in flight continue.
+  /// Stops polling and load orders after a loss of ownership, and refuses new samples. Samples in
+  /// flight continue.
   void stop();
-  /// Reevaluates the wanted versions, and abandons samples that exceed their freshness bound.
+  /// Reevaluates the wanted versions, and interrupts samples whose oldest tokens exceed the
+  /// sample's freshness bound.
   void on_config_change();
 
-  /// Runs a sample to completion. The response carries the reason if the sample was refused or
-  /// interrupted.
+  /// Runs a sample until it finishes, is refused, is rejected or is interrupted. The response
+  /// carries the outcome, and the reason unless the sample finished.
   awaitable<rpc::RunSampleResponseT> run(rpc::RunSampleRequestT request);
-  /// @return false if the attempt is not in flight.
+  /// Interrupts the sample of an attempt. @return false if the attempt is not in flight.
   bool cancel(std::string const& attempt);
   /// Interrupts all samples in flight. Their owners resume them on other engines.
   void abandon_all();
@@ -70,11 +72,12 @@
 
   awaitable<void> report_loop();
   awaitable<void> load_loop();
-  /// Orders the first model version that is behind. @return true if all versions are current.
+  /// Sends a load order for the first model whose loaded version is older than the wanted one.
+  /// @return true if no model needed an order.
   awaitable<bool> load_next_version();
   awaitable<void> cancel_at_engine(std::string attempt);
   void apply_report(load_report const& report);
-  /// Returns an empty string if the sample can be admitted.
+  /// Returns the reason to refuse a sample; empty if the sample can be admitted.
   std::string refusal_reason(rpc::RunSampleRequestT const& request) const;
   void abandon(std::string const& attempt, running_sample& sample, std::string reason);
   rpc::RunSampleResponseT make_response(rpc::RunOutcome outcome, std::string reason) const;
--- a/src/engines/engine_board.cc
+++ b/src/engines/engine_board.cc
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr double k_gap_smoothing = 0.15;
-/// Age at which the event gap of an unused engine expires.
+/// Time since its last update after which an engine's event gap is ignored.
 constexpr milliseconds k_gap_ttl{6000};
 constexpr milliseconds k_typical_gap_interval{50};
 constexpr milliseconds k_first_block{300};
 constexpr std::uint32_t k_max_block_doublings = 3;
-/// Speedup and saved time that a move must promise, since it costs a request and a prefill of the
-/// prompt.
+/// Lowest speedup and saved time for which a run is moved: a move costs a request and a prefill of
+/// the prompt.
 constexpr double k_move_ratio = 1.2;
 constexpr milliseconds k_min_gain{200};
 /// Cost reduction for an engine that has the group's prompt cached.
--- a/src/engines/engine_board.h
+++ b/src/engines/engine_board.h
@@ -1,5 +1,5 @@
 /// @file Scheduling state of a pool's engines, kept by the owner of the pool: requests in flight,
-/// measured speed and loaded weight versions. Pure.
+/// measured speed and loaded weight versions. No I/O; reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +15,24 @@
 
 namespace frostline::engines {
 
-/// idle -> ordered (a load order is being sent or carried out) -> idle (the version is loaded, or
-/// the order ended without effect).
+/// Whether an engine has an outstanding load order.
+/// idle -> ordered (an order is being sent or carried out) -> idle (the version is loaded, or the
+/// order ended without effect).
 enum class load_state { idle, ordered };
 
 /// Scheduling state of one engine.
 struct engine_entry {
-  /// Loaded version of a model, or 0 if none is known.
+  /// Returns the loaded version of a model; 0 if no version was reported.
   std::uint64_t version_of(std::string const& model) const;
 
   directory::server server;
-  /// Loaded version by model: the highest that service discovery or the engine has reported.
+  /// Loaded version by model, from service discovery and from the engine's own answers.
   std::map<std::string, std::uint64_t> versions;
   std::uint32_t in_flight = 0;
   std::uint64_t tokens_in_flight = 0;
   /// Runs in flight by sample group.
   std::map<std::string, std::uint32_t> groups;
-  /// Moving average of the time between two stream events of a run; 0 if unknown.
+  /// Moving average of the time between two stream events of a run; 0 before the first event gap.
   double event_gap_ms = 0;
   time_point gap_updated_at{};
   time_point blocked_until = time_point::min();
@@ -47,11 +48,12 @@
   std::string service;
   std::string model;
   std::uint64_t min_version = 0;
-  /// Set if the run continues output of this version and must not mix versions.
+  /// The only version that may execute the run, if set: the run continues output of that version
+  /// and must not mix versions.
   std::optional<std::uint64_t> exact_version;
-  /// Cache space that the run may take, in tokens.
+  /// KV cache space that the run may occupy, in tokens.
   std::uint64_t tokens = 0;
-  /// Samples of a group share a prompt.
+  /// Sample group of the run. The samples of a group share a prompt.
   std::string group;
   /// Engines that must not be chosen.
   std::set<std::string> excluded;
@@ -59,9 +61,10 @@
 
 class engine_board {
  public:
-  /// @param cache_tokens size of each engine's KV cache; 0 if unknown, which disables the limit.
+  /// @param cache_tokens size of each engine's KV cache in tokens; 0 for no limit.
   void set_cache_tokens(std::uint64_t cache_tokens) { cache_tokens_ = cache_tokens; }
-  /// Replaces the set of engines by the pool's servers as service discovery lists them.
+  /// Adds or updates the engines in `servers`, the pool's servers in service discovery, and removes
+  /// all others.
   void update(std::vector<directory::server const*> const& servers);
   /// Adds or updates one engine from its service discovery record.
   void put(directory::server const& server);
@@ -77,20 +80,22 @@
     index_.set_newest(model, newest);
   }
 
-  /// Sets the version that the engine itself reported; service discovery may lag behind.
+  /// Sets the loaded version of a model, also to a lower value than the recorded one.
+  /// @param version 0 if the engine holds an older version than recorded and it is unknown which.
   void set_version(std::string const& id, std::string const& model, std::uint64_t version);
-  /// Records that the engine holds at least this version.
+  /// Sets the loaded version of a model to `version` unless the recorded one is higher.
   void raise_version(std::string const& id, std::string const& model, std::uint64_t version);
   void begin_load(std::string const& id, std::string const& model, std::uint64_t version,
                   time_point now);
-  /// Restarts the timeout of the current order at `at`, or defers the next order until then.
+  /// Sets the start of the current order's timeout to `at`. Without a current order, no order is
+  /// sent to the engine before `at`.
   void set_ordered_at(std::string const& id, time_point at);
   void end_load(std::string const& id);
   void end_all_loads();
 
-  /// Chooses an engine for a run: the one with the lowest expected time per event, with a bonus for
-  /// engines that already run samples of its group and have their prompt cached. Returns null if
-  /// no engine qualifies.
+  /// Chooses the engine with the lowest cost for a run: the expected time per event, less a bonus
+  /// if the engine runs samples of the same group and so has the prompt cached. Returns null if no
+  /// engine qualifies.
   engine_entry const* choose(run_requirements const& requirements, time_point now);
   void note_started(std::string const& id, std::uint64_t tokens, std::string const& group);
   void note_ended(std::string const& id, std::uint64_t tokens, std::string const& group);
@@ -100,15 +105,16 @@
   void note_success(std::string const& id);
   void block(std::string const& id, time_point until);
 
-  /// Event gap of the engine relative to the median of the pool; 1 if unknown.
+  /// Returns the engine's event gap divided by the median of the pool, at least 0.5; 1 if the
+  /// engine has no recent event gap.
   double slowness(engine_entry const& engine, time_point now) const;
   /// Estimates the time that a run would save by moving to a faster engine with a free slot; 0 if
-  /// it should stay. Run lengths are heavy-tailed, so the remaining length is estimated as equal to
-  /// the length so far.
+  /// the run should stay on `from`. Run lengths are heavy-tailed, so the remaining length is
+  /// estimated as equal to the length so far.
   /// @param events number of stream events that the run has received.
   milliseconds gain_of_move(engine_entry const& from, run_requirements const& requirements,
                             std::uint64_t events, time_point now);
-  /// Total number of engines examined by `choose`.
+  /// Total number of engines examined by all calls of `choose`.
   std::uint64_t examined() const { return examined_; }
 
  private:
@@ -119,21 +125,24 @@
   static void reset_for_restart(engine_entry& engine);
   bool can_run(engine_entry const& engine, run_requirements const& requirements,
                time_point now) const;
-  /// Relative expected time per event; lower is better.
+  /// Expected time per event relative to an idle engine of median speed, less the bonus for a
+  /// cached prompt.
   double cost_of(engine_entry const& engine, run_requirements const& requirements,
                  time_point now) const;
   bool has_recent_gap(engine_entry const& engine, time_point now) const;
-  /// Recomputes the median gap if it is out of date.
+  /// Recomputes the median event gap, unless that was done within the last
+  /// `k_typical_gap_interval`.
   void refresh_typical_gap(time_point now);
 
   std::uint64_t cache_tokens_ = 0;
-  /// Median event gap of the engines; 0 if none is known.
+  /// Median of the engines' recent event gaps; 0 if there are none.
   double typical_gap_ms_ = 0;
   time_point typical_gap_at_{};
   std::map<std::string, engine_entry> engines_;
   engine_index index_;
   std::set<std::string> loading_;
-  /// Engines that may have a recent event gap.
+  /// Engines with an event gap that was recent at the last `refresh_typical_gap` or was added
+  /// since.
   std::set<std::string> measured_;
   /// Engines that run samples of each group.
   std::map<std::string, std::set<std::string>> groups_;
--- a/src/engines/engine_client.h
+++ b/src/engines/engine_client.h
@@ -1,5 +1,5 @@
-/// @file Client of one engine's HTTP API: completions, cancellation, load reports and fenced load
-/// orders.
+/// @file Client of one engine's HTTP API: completions, cancellation, load reports (requests
+/// running and waiting) and orders to load weights, which carry a fencing epoch.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,8 @@
 
 namespace frostline::engines {
 
-/// Status that an engine reports. It may lag behind the engine's actual state.
+/// Utilization and loaded weight versions that an engine reports. The report may lag behind the
+/// engine's actual state.
 struct load_report {
   std::uint64_t incarnation = 0;
   std::uint32_t running = 0;
@@ -39,11 +40,12 @@
 enum class completion_end {
   /// The stream ended with its end marker.
   finished,
-  /// The engine refused the request, or was not reached; nothing ran.
+  /// The engine reported that it did not run the request, or the connection failed.
   refused,
   /// The request is invalid and must not be retried.
   rejected,
-  /// The stream broke; the events received before that are valid.
+  /// The stream broke, was aborted, or the engine reported another error. Events received before
+  /// that are valid.
   interrupted,
 };
 
@@ -71,7 +73,8 @@
   awaitable<completion_outcome> complete(completion_request request,
                                          std::function<bool(token_event const&)> on_tokens);
   awaitable<void> cancel(std::string request_id);
-  /// @param detail set to the engine's error message if the order failed.
+  /// Sends a load order and waits until the engine has carried it out.
+  /// @param detail set to the error message unless the outcome is `done`.
   awaitable<order_outcome> load(load_order order, std::string& detail);
 
  private:
--- a/src/engines/version_planner.cc
+++ b/src/engines/version_planner.cc
@@ -8,25 +8,24 @@
 namespace frostline::engines {
 namespace {
 
-/// Engines beyond a model's share, to absorb load peaks.
+/// Engines wanted in addition to a model's share, to absorb peaks of demand.
 constexpr std::size_t k_extra_engines = 1;
 constexpr std::size_t k_min_engines = 2;
-/// Engine slots provided per sample of a job. More than one, since two jobs may be open, runs are
-/// faster on engines that are not full, and runs on slow engines need faster ones to move to
-/// (docs/design/changed-workload.md).
+/// Engine slots wanted per sample of a model's latest job. The spare slots serve a second open job,
+/// keep utilization low, and let runs on slow engines move (docs/design/changed-workload.md).
 constexpr std::size_t k_slots_per_sample = 12;
 
 /// Planned and actual engine counts of one model.
 struct model_plan {
   std::string model;
   model_demand demand;
-  /// Engines that should hold a version that jobs may use.
+  /// Number of engines that should hold a version that jobs may use.
   std::size_t wanted = 0;
-  /// Engines that should hold the newest version.
+  /// Number of engines that should hold the newest version.
   std::size_t up_to_date_wanted = 0;
-  /// Engines that hold the newest version, or are loading it.
+  /// Number of engines that hold the newest version, or are loading it.
   std::size_t up_to_date = 0;
-  /// Engines that hold a version that jobs may use, or are loading one.
+  /// Number of engines that hold a version that jobs may use, or are loading one.
   std::size_t usable = 0;
   load_candidates candidates;
 
@@ -36,8 +35,8 @@
   }
 };
 
-/// Returns the number of engines that should serve a model: its share of the total job size, plus a
-/// reserve.
+/// Returns the number of engines that should serve a model: its share of the total job size, plus
+/// `k_extra_engines`; all engines if there is only one model.
 std::size_t wanted_engines(std::size_t engines, model_demand const& demand, double total_size,
                            std::size_t models) {
   if (models <= 1) return engines;
@@ -48,7 +47,8 @@
   return std::min(engines, std::max(proportional, k_min_engines) + k_extra_engines);
 }
 
-/// Returns the number of engines with enough slots for a model's samples.
+/// Returns the number of engines with enough slots for the samples of a model's latest job; all
+/// engines if the number of samples or of slots is unknown.
 std::size_t sufficient_engines(std::size_t engines, std::size_t total_slots, std::size_t samples) {
   if (samples == 0 || total_slots == 0) return engines;
   std::size_t const needed = samples * k_slots_per_sample * engines;
--- a/src/engines/version_planner.h
+++ b/src/engines/version_planner.h
@@ -1,8 +1,8 @@
-/// @file Plans which engine loads which weight version next. Pure.
+/// @file Plans which engine loads which weight version next. No I/O; reads no clock.
 ///
-/// Jobs may use the version before the newest, so engines alternate: for each new version, the
-/// engines that hold the previous one keep serving while the others load. Each engine loads every
-/// second version, and the pool is never fully occupied by loading.
+/// If jobs may use the version before the newest, engines alternate: about half of a model's
+/// engines load a new version, first those whose version is too old for jobs, while the others keep
+/// serving.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,12 @@
 namespace frostline::engines {
 
 struct planner_options {
-  /// Number of engines that may load concurrently in a pool of any size.
+  /// Number of engines that may load concurrently, unless `parallel_fraction` allows more.
   std::uint32_t parallel_loads = 2;
-  /// Fraction of a pool's engines that may load concurrently, if that is more.
+  /// Fraction of a pool's engines that may load concurrently, unless `parallel_loads` allows more.
   double parallel_fraction = 0.2;
-  /// Time without effect after which an order's state is queried from the engine.
+  /// Time after which an engine that has not loaded the ordered version is queried for the state of
+  /// the order.
   milliseconds order_timeout{2500};
 };
 
@@ -43,10 +44,10 @@
 
 using model_demands = std::map<std::string, model_demand>;
 
-/// Returns the orders to send now, the most urgent first: for models that no engine can serve, then
-/// for those with the lowest share of the engines that they want, then in preparation for the next
-/// version.
-/// @param board its newest versions are updated from `demands`.
+/// Returns the orders to send now, the most urgent first: for models without an engine that holds a
+/// version that jobs may use, then for models with fewer such engines than wanted, then for models
+/// with too few engines that hold the newest version.
+/// @param board receives the newest version of each model from `demands`.
 std::vector<planned_order> plan_orders(engine_board& board, model_demands const& demands,
                                        planner_options const& options);
 
--- a/src/jobs/run_permission.h
+++ b/src/jobs/run_permission.h
@@ -13,21 +13,22 @@
 
 class run_permission {
  public:
-  /// How long an owner starts runs after its lease has lapsed, unless it learns of another owner.
-  /// Covers the store outages of 6 to 7 s that deployments plan for.
+  /// How long an owner may start runs after it last held a valid lease, unless its process was
+  /// suspended. Covers store outages of 6 to 7 s.
   static constexpr milliseconds k_lapsed_lease_grace{8000};
-  /// The process counts as suspended if its loop, with a period of 100 ms, did not run for this
-  /// long. Well below the 1,500 ms after which a lease expires.
+  /// The process counts as suspended if the time between two iterations of the owner's loop exceeds
+  /// this threshold. Longer than the loop's period, and shorter than the TTL of a lease.
   static constexpr milliseconds k_suspension_threshold{500};
-  /// Time that a resumed process needs to read the current owners from the store, including a
-  /// reconnect and a retry.
+  /// Time after a resumption in which the process starts no runs without a lease: it reads the
+  /// current owners from the store, which may take a reconnect and a retry.
   static constexpr milliseconds k_owner_discovery_time{500};
 
   explicit run_permission(time_point now) : last_iteration_at_(now) {}
 
   /// Records an iteration of the owner's loop. @param holds_lease true if the lease is valid now.
   void note_iteration(time_point now, bool holds_lease);
-  /// Returns true if another node may have taken over while this process was suspended.
+  /// Returns true if another node may have taken over while this process was suspended: the lease
+  /// is not valid, and the process resumed less than `k_owner_discovery_time` ago.
   bool may_have_successor(time_point now, bool holds_lease) const;
   /// Returns true if new runs may be started.
   bool may_start_runs(time_point now, bool holds_lease) const;
--- a/src/jobs/write_timeout_estimator.cc
+++ b/src/jobs/write_timeout_estimator.cc
@@ -8,9 +8,9 @@
 /// Multiple of the smoothed response time after which an answer counts as lost.
 constexpr double k_timeout_factor = 5.0;
 constexpr double k_smoothing = 0.3;
-/// Lowest supported link speed, in bytes a millisecond.
+/// Lowest supported link speed, in bytes per millisecond.
 constexpr std::size_t k_link_bytes = 4096;
-/// Tries that wait no longer than the first: several answers in a row may be lost.
+/// Number of tries with the same timeout, before the timeout doubles with each further try.
 constexpr std::size_t k_attempts_before_backoff = 5;
 constexpr std::size_t k_most_doublings = 4;
 
--- a/src/jobs/write_timeout_estimator.h
+++ b/src/jobs/write_timeout_estimator.h
@@ -15,15 +15,15 @@
   static constexpr milliseconds k_min_timeout{250};
   static constexpr milliseconds k_max_timeout{1500};
 
-  /// Time to wait for the answer to a write.
-  /// @param bytes that it sends.
-  /// @param tries of it that had no answer.
+  /// Returns the time to wait for the answer to a write.
+  /// @param bytes size of the write.
+  /// @param tries number of earlier tries of the same write that had no answer.
   milliseconds timeout_for(std::size_t bytes, std::size_t tries) const;
-  /// A write was answered after `spent`.
+  /// Records that a write was answered after `spent`.
   void note_answer(milliseconds spent);
 
  private:
-  /// Smoothed time of answers.
+  /// Smoothed response time; 0 before the first answer.
   double answer_ms_ = 0;
 };
 
--- a/src/routing/leaving_tracker.h
+++ b/src/routing/leaving_tracker.h
@@ -1,5 +1,5 @@
-/// @file Tracks which back ends are leaving. Any of three sources may mark a back end; only a newer
-/// incarnation, or for operator drains an undo, clears the mark. Pure.
+/// @file Tracks which back ends are leaving. Any of three sources may mark an incarnation of a back
+/// end. A mark does not apply to newer incarnations, and an operator's mark can be undone. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,15 +22,17 @@
 
 class leaving_tracker {
  public:
-  /// Marks this incarnation as leaving. Idempotent.
+  /// Marks an incarnation and all earlier ones of a back end as leaving.
+  /// @param incarnation in the back end's own numbering for `leaving_source::back_end`, otherwise
+  /// as in the machine list.
   void mark(std::string const& back_end, std::uint64_t incarnation, leaving_source source);
   /// Removes the operator's drain of this back end; marks of other sources remain.
   void undo_operator_drain(std::string const& back_end);
   /// Returns true if new requests must not be sent to a back end.
-  /// @param listed_incarnation its incarnation in the machine list, which the machine list and
-  /// operators refer to.
+  /// @param listed_incarnation the back end's incarnation in the machine list; compared with the
+  /// marks of the machine list and of operators.
   /// @param reported_incarnation the incarnation that the back end reports, in its own numbering;
-  /// if absent, the back end's own mark is ignored.
+  /// compared with the back end's own mark, which is ignored if this parameter is absent.
   bool is_leaving(std::string const& back_end, std::uint64_t listed_incarnation,
                   std::optional<std::uint64_t> reported_incarnation) const;
   std::vector<leaving_entry> entries() const;
