--- a/src/directory/server.h
+++ b/src/directory/server.h
@@ -26,16 +26,16 @@
   server_state state = server_state::ready;
   /// Weight version by model; empty for application servers.
   std::map<std::string, std::uint64_t> models;
-  /// Number of load orders accepted by this incarnation, as of the record.
+  /// Number of load orders that this incarnation had accepted when the record was written.
   std::uint64_t sequence = 0;
 
-  /// Key that identifies this incarnation, also among those with the same identifier.
+  /// Returns a key of this incarnation: the identifier, followed by `born` if that is reported.
   std::string incarnation() const { return born == 0 ? id : id + "/" + std::to_string(born); }
   bool operator==(server const&) const = default;
 };
 
-/// Digest of the fields that callers depend on. Weight versions and order counts, which only matter
-/// to the owner of a pool, are left out.
+/// Returns a digest of the fields that callers depend on. Excludes weight versions and order
+/// counts, which only matter to the owner of a pool.
 std::uint64_t digest_for_callers(server const& record);
 
 }  // namespace frostline::directory
--- a/src/directory/server_directory.h
+++ b/src/directory/server_directory.h
@@ -1,4 +1,4 @@
-/// @file Directory of the servers behind the gateway, from service discovery records. Pure.
+/// @file Directory of the servers behind the gateway, from service discovery records.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,8 @@
   /// @param ids servers that may have been added, changed or removed.
   using change_listener = std::function<void(std::vector<std::string> const& ids)>;
 
-  /// Replaces the contents. Stale records, of an incarnation before the known one, are ignored.
+  /// Replaces the contents. Records of an earlier incarnation than the stored one are stale and
+  /// ignored.
   void replace_all(std::vector<server> servers);
   /// Adds or updates one server, unless the record is stale.
   void put(server record);
@@ -29,8 +30,9 @@
 
   bool is_loaded() const { return loaded_; }
   server const* find(std::string const& id) const;
-  /// Returns true if a later incarnation is known under the same identifier, or another server of
-  /// the same service at the same address: then `previous` has ended.
+  /// Returns true if the process of `previous` no longer runs: the directory holds a later
+  /// incarnation with the same identifier, or another server of the same service at the same
+  /// address.
   bool is_superseded(server const& previous) const;
   /// Returns true if this incarnation is draining.
   bool is_leaving(server const& record) const;
--- a/src/directory/service_index.h
+++ b/src/directory/service_index.h
@@ -1,5 +1,5 @@
 /// @file Index of servers by service and by address. It is updated incrementally, so that queries
-/// do not scan all servers. Pure.
+/// do not scan all servers.
 #pragma once
 
 #include <cstdint>
--- a/src/engines/engine_control.h
+++ b/src/engines/engine_control.h
@@ -1,5 +1,5 @@
-/// @file Interface for load orders to engines and for their reports, independent of the platform's
-/// protocol.
+/// @file Interface for sending load orders to engines and querying their load state, independent of
+/// the platform's protocol.
 #pragma once
 
 #include <cstdint>
--- a/src/engines/engine_index.h
+++ b/src/engines/engine_index.h
@@ -1,5 +1,5 @@
 /// @file Index of a pool's engines by loaded version and utilization. It is updated incrementally,
-/// so that choosing an engine or planning the next load does not scan the whole pool. Pure.
+/// so that choosing an engine or planning the next load does not scan the whole pool.
 #pragma once
 
 #include <cstddef>
@@ -26,13 +26,14 @@
   std::optional<std::pair<std::string, std::uint64_t>> load;
 };
 
-/// Compact identifier of an engine while it is in the index; reused after its removal.
+/// Compact identifier of an engine while it is in the index; reused after the engine's removal.
 using engine_number = std::uint32_t;
 
 /// Iterates over the engines that may be ordered to load a model, the best candidates first.
 class load_candidates {
  public:
-  /// Number of models that the engine holds in a recent version, its requests in flight, engine.
+  /// Number of models that the engine holds in a recent version, number of its requests in flight,
+  /// and the engine.
   using rank = std::tuple<std::uint32_t, std::uint32_t, engine_number>;
   using version_buckets = std::map<std::uint64_t, std::set<rank>>;
 
@@ -78,15 +79,15 @@
   /// Adds an engine, or updates its position in the index.
   void put(engine_summary const& summary);
   void remove(std::string const& id);
-  /// Sets the newest version of a model. It and the version before count as recent; before version
-  /// 3, none does.
+  /// Sets the newest version of a model. The newest version and its predecessor count as recent;
+  /// before version 3 is published, no version does.
   void set_newest(std::string const& model, std::uint64_t newest);
 
   model_counts count(std::string const& model, std::uint64_t newest,
                      std::uint64_t allowed_lag) const;
   load_candidates candidates(std::string const& model, std::uint64_t newest,
                              std::uint64_t allowed_lag) const;
-  /// Total number of insertions of an engine into the index.
+  /// Total number of insertions of engines into the index, including updates of their positions.
   std::uint64_t index_updates() const { return index_updates_; }
   std::string const& id_of(engine_number number) const { return *ids_[number]; }
   /// Visits the engines with a free slot that hold a version from `min_version` to `max_version`:
@@ -125,6 +126,7 @@
     std::vector<model_version> versions;
     /// Null if no load is in progress.
     model_engines* loading_model = nullptr;
+    /// Version being loaded; 0 if no load is in progress.
     std::uint64_t loaded_version = 0;
 
     bool has_room() const { return in_flight < slots; }
--- a/src/engines/spans.h
+++ b/src/engines/spans.h
@@ -1,4 +1,4 @@
-/// @file Spans of a sample's tokens by the weight version that generated them. Pure.
+/// @file Spans of a sample's tokens by the weight version that generated them.
 #pragma once
 
 #include <algorithm>
@@ -42,7 +42,8 @@
   return total;
 }
 
-/// Returns true if no span is more than `bound` versions older than `published`.
+/// Returns true if no span is more than `bound` versions older than `published`. Without spans, the
+/// oldest version counts as 0.
 inline bool is_within_bound(span_list const& spans, std::uint64_t published, std::uint32_t bound) {
   return oldest_version(spans) + bound >= published;
 }
--- a/src/engines/sse_parser.h
+++ b/src/engines/sse_parser.h
@@ -1,4 +1,4 @@
-/// @file Incremental parser for server-sent events and for the token events they carry. Pure.
+/// @file Incremental parser for server-sent events and for the token events that they carry.
 #pragma once
 
 #include <cstdint>
--- a/src/engines/weight_orders.h
+++ b/src/engines/weight_orders.h
@@ -1,5 +1,5 @@
 /// @file Sends the load orders that bring a pool's engines to the published versions. Only the
-/// pool's owner runs it; its lease is checked immediately before each order is sent.
+/// pool's owner sends orders; the owner's lease is checked immediately before each one.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
   weight_orders(asio::io_context& context, engine_board& board, engine_control& control,
                 order_authority authority);
 
-  /// Publishes a version of a model. Ignored unless it is newer than the newest one.
+  /// Records that a version of a model was published. Ignored unless newer than all earlier ones.
   void name_version(std::string const& model, std::uint64_t version);
   /// Records the demand of an accepted job that allows versions from `min_version` on.
   /// @param size size of the job in tokens.
@@ -48,11 +48,12 @@
   std::uint64_t sent() const { return sent_; }
 
  private:
-  /// Number of orders accepted by one incarnation of an engine, as far as known.
+  /// Number of orders accepted by one incarnation of an engine.
   struct engine_sequence {
+    /// False if `value` must be queried from the engine.
     bool known = false;
     std::uint64_t value = 0;
-    /// Start time of that incarnation.
+    /// Start time of the incarnation in Unix milliseconds; 0 if not reported.
     std::uint64_t born = 0;
   };
 
@@ -64,7 +65,7 @@
   void check_pending_load(engine_entry const& entry, time_point now);
   /// Ends an overdue order unless the engine reports that it is still loading.
   awaitable<void> resolve_overdue_order(directory::server engine);
-  /// Returns the sequence of an engine, which is unknown after a restart.
+  /// Returns the sequence of an engine, reset to unknown if the engine has restarted.
   engine_sequence& sequence_of(directory::server const& engine);
   void apply_report(directory::server const& engine, engine_report const& report);
 
--- a/src/jobs/iteration_timer.h
+++ b/src/jobs/iteration_timer.h
@@ -14,7 +14,8 @@
  public:
   explicit iteration_timer(time_point begin) : begin_(begin), last_(begin) {}
 
-  /// Ends the current stage. @param name of the stage; must outlive the timer.
+  /// Ends the current stage. @param name name of the stage; its characters must outlive the
+  /// timer.
   void mark(std::string_view name, time_point now) {
     stages_.push_back({name, now - last_});
     last_ = now;
--- a/src/jobs/job_client.cc
+++ b/src/jobs/job_client.cc
@@ -12,7 +12,7 @@
 constexpr std::string_view k_part = "jobs";
 constexpr milliseconds k_retry_delay{60};
 constexpr milliseconds k_retry_after{300};
-/// How long to wait for one owner's answer before checking the ownership again.
+/// How long to wait for an answer of the owner before checking which node owns the pool.
 constexpr milliseconds k_owner_timeout{2500};
 
 rpc::JobReplyT unavailable() {
--- a/src/jobs/job_client.h
+++ b/src/jobs/job_client.h
@@ -46,7 +46,8 @@
 
   /// Submits a job to the owner of `pool_name`.
   awaitable<rpc::JobReplyT> submit(std::string pool_name, rpc::JobCallT call, time_point deadline);
-  /// Calls the owners of all pools in turn, since a job's identifier does not contain its pool.
+  /// Calls the owners of all pools in turn until one answers OK, since a job's identifier does not
+  /// name the job's pool.
   awaitable<rpc::JobReplyT> ask(rpc::JobCallT call, time_point deadline);
 
  private:
@@ -58,7 +59,8 @@
 
   void describe_self(rpc::JobCallT& call) const;
   /// Reads results from the record store when the owner delegates the read to this node.
-  /// @param owner_reply holds the number of items and a lower bound of the number of results.
+  /// @param owner_reply reply of the owner, with the number of items and a lower bound of the
+  /// number of results.
   awaitable<rpc::JobReplyT> read_stored(std::string pool, rpc::JobCallT call,
                                         rpc::JobReplyT owner_reply);
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -17,7 +17,8 @@
 namespace frostline::jobs {
 
 /// waiting -> running -> scoring -> finished -> listed. Samples without a scorer skip `scoring`.
-/// running -> waiting: the run broke off or was moved to another engine.
+/// running -> waiting: the run ended without a complete text, for example for a move to another
+/// engine.
 /// waiting, running or scoring -> finished with outcome DEAD: permanent failure or time limit.
 /// `listed` is final: the result is committed at a fixed position.
 enum class sample_state { waiting, running, scoring, finished, listed };
@@ -25,11 +26,14 @@
 /// Settings of a job, from the route and the tenant in the active configuration.
 struct job_policy {
   std::uint32_t max_attempts = 1;
-  /// Priority of the submitting tenant; takes precedence over the route's.
+  /// Priority of the submitting tenant; takes precedence over `priority`. Lower values run first.
   std::uint32_t tenant_priority = 0;
+  /// Priority of the route. Lower values run first.
   std::uint32_t priority = 0;
+  /// Time after submission by which results are due.
   milliseconds due{0};
-  /// Age at which unfinished items are marked dead; 0 means no limit.
+  /// Time since the acceptance or loading of the job after which unfinished items are marked dead;
+  /// 0 for no limit.
   milliseconds max_queue{0};
   bool single_version = false;
 };
@@ -63,9 +67,9 @@
   time_point not_before = time_point::min();
   /// Start of the first run by this owner.
   std::optional<time_point> started_at;
-  /// When the text was complete.
+  /// Time at which the text was complete.
   time_point text_completed_at{};
-  /// When the sample finished, including its scoring.
+  /// Time at which the sample finished, including the scoring.
   time_point finished_at{};
   rpc::SampleResultT result;
   /// Incremented when the text is dropped or replaced, so that reports never mix two texts.
@@ -73,11 +77,11 @@
   /// How much of this generation has been sent to the replicas and to the record store.
   sent_progress replicated;
   sent_progress stored;
-  /// When the first event of the text arrived.
+  /// Time at which the first event of the text arrived.
   time_point first_event_at{};
   /// Computed on first use by fingerprint_of.
   std::optional<quarantine::fingerprint> cached_fingerprint;
-  /// Held back as a possible poison request.
+  /// True once the sample was held back as a possible poison request.
   bool held_back = false;
 
   /// Discards the text and starts a new generation, of which nothing has been sent.
@@ -115,14 +119,15 @@
   milliseconds scored{0};
 };
 
-/// Phase times of the listed sample that finished last. Nothing if this owner ran none of them.
+/// Returns the phase times of the listed sample that finished last, among the samples that this
+/// owner ran; nothing if there are none.
 std::optional<sample_times> last_sample_times(job_entry const& job);
 
-/// Sum of the submitter's token limits of all items.
+/// Returns the sum of the submitter's token limits of all items.
 std::uint64_t total_tokens(rpc::JobRecordT const& record);
 
-/// Expected cache usage of a run of this item, in tokens: the prompt plus a multiple of the
-/// submitter's length hint, at most the submitter's limit.
+/// Returns the expected KV cache usage of a run of this item, in tokens: the prompt plus a multiple
+/// of the submitter's length hint, at most the submitter's limit.
 std::uint64_t expected_tokens(rpc::JobItemT const& item);
 
 /// Fingerprint of a sample's request; equal requests have the same fingerprint in all jobs.
@@ -167,7 +172,7 @@
   /// then partially run and resubmitted samples, then the job's age, then the longest expected run.
   std::vector<run_candidate> runnable(time_point now);
   run_key start(job_entry& job, std::uint32_t index, std::string engine, time_point now);
-  /// The sample of this run; null if the run is no longer current.
+  /// Returns the sample of this run; null if the run is no longer current.
   sample_entry* find_running(run_key const& key);
 
   /// Appends an event of a run, generated with weights of `version`.
@@ -186,7 +191,8 @@
   /// Marks the unfinished samples dead whose job is older than its max_queue.
   void expire(time_point now);
 
-  /// Changes of unlisted samples since the last call. Stops once the texts exceed `limit` bytes.
+  /// Returns the changes of unlisted samples of open jobs since the last call. Stops once the texts
+  /// exceed `limit` bytes.
   std::vector<rpc::SampleProgressT> take_progress(std::size_t limit);
   /// Makes the next take_progress return full texts.
   void reset_replicated();
@@ -201,8 +207,8 @@
   /// invalidates a local run of the sample. @return true if it was adopted.
   bool adopt(rpc::SampleProgressT const& progress, time_point now);
 
-  /// The next results to commit, if a commit is due. At most `limit` bytes, but at least one
-  /// result.
+  /// Returns the next results to commit, if a commit is due. At most `limit` bytes, but at least
+  /// one result.
   std::optional<rpc::ResultBatchT> next_batch(job_entry& job, time_point now, std::size_t limit);
   /// Lists the results of the batch after it was stored.
   void confirm_batch(job_entry& job);
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -15,13 +15,13 @@
 /// Iterations at least this long are logged, since they could delay the renewal of the lease.
 constexpr milliseconds k_slow_iteration{100};
 constexpr milliseconds k_load_retry_delay{100};
-/// Time without a confirmed lease renewal after which the store counts as unavailable. Renewals are
-/// sent every 400 ms and retried after 150 ms.
+/// Time without a confirmed lease renewal after which the store counts as unavailable.
 constexpr milliseconds k_store_outage_threshold{700};
-/// Interval of checkpoints, and the minimum age of the runs that they hold: most runs are shorter.
 constexpr milliseconds k_checkpoint_interval{1000};
+/// Minimum age of a text in a checkpoint, since its first event. Most runs are shorter.
 constexpr milliseconds k_checkpoint_age{1500};
-/// Size of the texts in a checkpoint; the last text may exceed it, and still fits in a record.
+/// Limit of the total size of the texts in a checkpoint, in bytes; the last text may exceed the
+/// limit.
 constexpr std::size_t k_checkpoint_bytes = 256 * 1024;
 /// How long calls wait for a loading or suspended owner, to avoid repeated retries.
 constexpr milliseconds k_max_ready_wait{400};
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -44,21 +44,22 @@
   http::client& transport;
   std::string node;
   std::string zone;
-  /// Closed jobs are deleted this long after their acceptance or loading.
+  /// Time after a job's acceptance or loading from which on the job is deleted, if it is closed
+  /// (ended, or with all results listed).
   milliseconds retention{140'000};
 };
 
 /// standby -> loading: the lease was acquired.
 /// loading -> active: the stored jobs are loaded; loading -> standby: the lease was lost.
-/// active -> suspended: the lease lapsed, and no other holder is known.
+/// active -> suspended: the lease was lost.
 /// suspended -> loading: the lease was acquired again.
 /// active or suspended -> standby: another node owns the pool.
 enum class owner_state { standby, loading, active, suspended };
 
 class pool_owner {
  public:
-  /// Rate at which the owner sends results of closed jobs to other nodes; beyond it, they read the
-  /// record store themselves. Leaves most of a link of 60 Mbit/s to other traffic.
+  /// Rate limit of results of closed jobs that the owner sends to other nodes. Above the limit, the
+  /// other nodes read the record store themselves.
   static constexpr std::size_t k_read_bytes_per_second = 1 << 20;
 
   explicit pool_owner(pool_owner_dependencies dependencies);
@@ -143,7 +144,7 @@
   awaitable<void> run_before_recorded(std::uint64_t term, std::shared_ptr<rpc::JobRecordT> record);
   /// Drops old jobs whose record was not stored and is no longer being written.
   void drop_unrecorded(time_point now);
-  /// The job if its record is known to be stored, null otherwise.
+  /// Returns the job if its record is known to be stored, null otherwise.
   job_entry* find_recorded(std::string const& id);
   void accept(std::shared_ptr<rpc::JobRecordT> const& record);
   awaitable<rpc::JobReplyT> list(rpc::JobCallT call);
@@ -156,8 +157,8 @@
   awaitable<void> send_offer(endpoint where, rpc::ProgressReportT report);
   void adopt(rpc::ProgressReportT const& report);
   bool can_read() const;
-  /// Returns true if a job unknown to this node does not exist, since its records are loaded and it
-  /// holds the lease.
+  /// Returns true if a job unknown to this node does not exist, since the node has loaded the
+  /// pool's records and holds the lease.
   bool is_authoritative() const;
   /// Returns false if another owner may have taken over while this process was suspended.
   bool may_resend() const;
@@ -179,7 +180,7 @@
   std::map<std::string, bool> submitting_;
   /// Ended jobs whose data is not loaded, with the contents of their marks.
   std::map<std::string, std::optional<rpc::JobEndT>> unloaded_ended_jobs_;
-  /// Those of them that are queued for loading.
+  /// Jobs of `unloaded_ended_jobs_` that are queued for loading.
   std::deque<std::string> requested_ended_jobs_;
   bool loading_ended_jobs_ = false;
   /// Limits the results of closed jobs sent to other nodes.
--- a/src/jobs/pool_owner_calls.cc
+++ b/src/jobs/pool_owner_calls.cc
@@ -14,8 +14,7 @@
 constexpr milliseconds k_retry_after{250};
 constexpr milliseconds k_offer_timeout{1000};
 constexpr milliseconds k_max_list_wait{1000};
-/// A job starts to run if its record is not stored after this time. A healthy store takes a few
-/// milliseconds.
+/// A job starts to run if its record is not stored after this time.
 constexpr milliseconds k_record_write_grace{100};
 /// An unrecorded job is dropped after this time unless its record is still being written. Longer
 /// than submitters wait.
@@ -31,8 +30,8 @@
   return reply;
 }
 
-/// Returns true if the caller may see this job. Records that predate tenants have none and are
-/// visible to all.
+/// Returns true if the caller may see this job. Records stored before the introduction of
+/// tenants have no tenant and are visible to all callers.
 bool may_see(rpc::JobCallT const& call, job_entry const& job) {
   return job.record.tenant.empty() || job.record.tenant == call.tenant;
 }
--- a/src/jobs/pool_owner_ended.cc
+++ b/src/jobs/pool_owner_ended.cc
@@ -1,5 +1,5 @@
-/// @file Jobs that ended before this node became the pool's owner. Calls are answered from their
-/// marks where possible; their data is loaded on demand.
+/// @file Jobs that ended before this node became the pool's owner. Calls are answered from the
+/// jobs' end marks where possible; the jobs' data is loaded on demand.
 
 #include <algorithm>
 
--- a/src/jobs/progress_replica.cc
+++ b/src/jobs/progress_replica.cc
@@ -16,11 +16,11 @@
 constexpr milliseconds k_idle_interval{1000};
 constexpr milliseconds k_report_timeout{500};
 constexpr std::size_t k_max_report_bytes = 512 * 1024;
-/// A replica without a report for this long may be far behind.
+/// Age of the last report from which on a replica counts as out of date.
 constexpr milliseconds k_freshness_limit{12'000};
 constexpr milliseconds k_peer_expiry{20'000};
 constexpr milliseconds k_failed_peer_backoff{3000};
-/// Differences in start time up to this one don't count.
+/// Differences in start time up to this one are ignored in the choice of replicas.
 constexpr milliseconds k_min_age_difference{3000};
 
 }  // namespace
@@ -136,7 +136,7 @@
     chosen.insert(*next);
   }
   if (chosen == replicas_) return;
-  // Replicas that stay need changes only; a new one needs full texts.
+  // Replicas that were chosen before need only the changes; a new one needs full texts.
   bool const has_new =
       !std::includes(replicas_.begin(), replicas_.end(), chosen.begin(), chosen.end());
   send_full_report_ = send_full_report_ || has_new;
--- a/src/jobs/progress_replica.h
+++ b/src/jobs/progress_replica.h
@@ -18,16 +18,17 @@
 
 namespace frostline::jobs {
 
-/// A replica of the progress of a pool owned by another node. Reads no clock.
+/// A replica of the progress of samples in a pool that another node owns. No I/O; reads no clock.
 class progress_replica {
  public:
-  /// @return true if the report was applied; otherwise the owner must send full texts.
+  /// Applies a report of the pool's owner. @return false if the report is from an earlier epoch, or
+  /// continues a text that this replica lacks; the owner must then send full texts.
   bool take(rpc::ProgressReportT report, time_point now);
-  /// Returns true if the owner has reported recently.
+  /// Returns true if the last report is younger than `k_freshness_limit`.
   bool is_fresh(time_point now) const;
-  /// Progress of a job's samples, with their full texts.
+  /// Returns the progress of a job's samples, with their full texts.
   std::vector<rpc::SampleProgressT> job_progress(std::string const& job) const;
-  /// The whole replica as one report, for the next owner.
+  /// Returns the whole replica as one report, for the next owner.
   rpc::ProgressReportT full_report(std::string const& pool) const;
   std::uint64_t epoch() const { return epoch_; }
   void clear();
@@ -38,8 +39,8 @@
     std::uint64_t epoch = 0;
     rpc::SampleProgressT progress;
   };
-  /// The stored text that `entry` continues; nothing if there is none. A report continues a text
-  /// only of the same owner and generation.
+  /// Returns the stored text that `entry` continues; nothing if there is none. A report continues a
+  /// text only of the same owner and generation.
   std::optional<std::string> find_text_prefix(rpc::SampleProgressT const& entry,
                                               std::uint64_t epoch) const;
 
@@ -66,7 +67,7 @@
     on_newer_owner_ = std::move(listener);
   }
   /// Records that a peer is alive.
-  /// @param uptime of the peer's process.
+  /// @param uptime time since the start of the peer's process.
   /// @param processor_share share of a core that the peer may use.
   void note_peer(endpoint const& where, std::string const& zone, milliseconds uptime,
                  double processor_share, time_point now);
@@ -94,7 +95,7 @@
   /// as the next owner; then processes that started much later, since a rolling restart reaches
   /// them last; then current replicas; then nodes in the same zone.
   void choose_replicas(std::size_t replica_count, time_point now);
-  /// The best eligible peer outside `excluded`.
+  /// Returns the best peer outside `excluded` that is not in backoff; nothing if there is none.
   std::optional<endpoint> choose_best_peer(std::set<endpoint> const& excluded,
                                            time_point now) const;
   rpc::ProgressReportT make_report(job_table& table, std::uint64_t epoch);
@@ -112,9 +113,9 @@
   bool is_better(endpoint const& left, endpoint const& right) const;
 
   std::set<endpoint> replicas_;
-  /// Replicas that have not answered the in-flight report.
+  /// Number of replicas that have not answered the in-flight report.
   std::size_t pending_replies_ = 0;
-  /// The next report must hold full texts.
+  /// True if the next report must hold full texts.
   bool send_full_report_ = true;
   time_point last_sent_at_{};
   std::function<void(std::uint64_t)> on_newer_owner_;
--- a/src/jobs/read_budget.h
+++ b/src/jobs/read_budget.h
@@ -14,10 +14,12 @@
   explicit read_budget(std::size_t bytes_per_second)
       : rate_(static_cast<double>(bytes_per_second)), available_(rate_) {}
 
-  /// Takes `bytes` from the bucket. @return false, taking nothing, if too few are left.
+  /// Takes `bytes` from the bucket. @return false, taking nothing, if fewer bytes are
+  /// available and the bucket is not full.
   bool take(std::size_t bytes, time_point now) {
     refill(now);
-    // A reply larger than the whole bucket is allowed when the bucket is full.
+    // A reply larger than the whole bucket is allowed when the bucket is full; the balance then
+    // becomes negative.
     if (available_<rate_&& static_cast<double>(bytes)> available_) return false;
     available_ -= static_cast<double>(bytes);
     return true;
--- a/src/jobs/record_log.cc
+++ b/src/jobs/record_log.cc
@@ -24,7 +24,8 @@
 constexpr char k_mark_value[] = "1";
 constexpr milliseconds k_retry_delay{120};
 constexpr milliseconds k_retry_delay_after_timeout{5};
-/// Limit of the values in one transaction, which leaves space for keys and framing.
+/// Limit of the total size of the values in one transaction of several entries, in bytes. Leaves
+/// space for keys and framing.
 constexpr std::size_t k_group_bytes = 4 << 20;
 
 std::string padded(std::uint64_t number) {
--- a/src/jobs/record_log.h
+++ b/src/jobs/record_log.h
@@ -27,8 +27,8 @@
   too_large,
 };
 
-/// Keys of a pool's records. Marks are small, so all of a pool's are listed at once; the data of a
-/// job is read on demand.
+/// Keys of a pool's records. Marks are small, so all marks of a pool are listed at once; the data
+/// of a job is read on demand.
 struct record_keys {
   static std::string marks_prefix(std::string const& pool);
   static std::string accepted_mark(std::string const& pool, std::string const& job);
@@ -58,7 +58,7 @@
 };
 
 stored_marks read_marks(std::string const& pool, std::vector<kv::key_value> const& records);
-/// Malformed records are skipped.
+/// Decodes the data of one job. Malformed records are skipped.
 stored_job read_job(std::string const& pool, std::string const& job,
                     std::vector<kv::key_value> const& records);
 
@@ -68,8 +68,8 @@
              std::string pool);
 
   /// Starts writing as the owner of this epoch.
-  /// @param owner_key key of the owner's record; writes take effect only while its revision is
-  /// `epoch`.
+  /// @param owner_key key of the owner's record; writes take effect only while the revision of that
+  /// record is `epoch`.
   void open(std::string owner_key, std::uint64_t epoch);
   /// Stops writing and completes all queued entries with ownership_lost.
   void close();
@@ -86,7 +86,7 @@
 
   bool is_idle() const { return queue_.empty() && !writing_; }
   std::uint64_t transactions() const { return transactions_; }
-  /// Largest value that fits in one record, in bytes.
+  /// Limit of the value of one record, in bytes; lower than the store's own limit.
   std::size_t value_limit() const;
 
  private:
@@ -101,7 +101,7 @@
   std::vector<entry> take_group();
   kv::transaction make_transaction(std::vector<entry> const& group) const;
   /// Retries the transaction until its outcome is known. @return true if it is stored.
-  /// @param bytes of the transaction's values.
+  /// @param bytes total size of the transaction's values.
   awaitable<bool> apply_until_known(kv::transaction change, std::size_t bytes,
                                     std::uint64_t session);
   /// Returns true if the comparisons failed because an earlier try of the same transaction took
--- a/src/jobs/sample_runner.cc
+++ b/src/jobs/sample_runner.cc
@@ -24,8 +24,7 @@
 /// service learns of another crash.
 constexpr milliseconds k_suspect_retry_delay{40};
 /// Number of crashes after which a sample's runs are isolated from those of other suspects: one
-/// more crash would quarantine all that share the engine. Not after the first crash, or all samples
-/// of a crashed engine would wait for engines of their own.
+/// more crash would quarantine all suspects that share the engine.
 constexpr std::size_t k_isolation_crash_count = quarantine::k_crash_threshold - 1;
 /// Interval at which a quarantined sample is checked again.
 constexpr milliseconds k_quarantine_recheck_interval{500};
@@ -172,7 +171,7 @@
     best_gain = gain;
   }
   if (best == nullptr) return;
-  // Only one move at a time, so that the next decision accounts for its target.
+  // At most one move per iteration, so that the next decision accounts for the run's new engine.
   best->moving = true;
   best->exchange->abort();
 }
@@ -225,7 +224,7 @@
 
 void sample_runner::abort(run_id id, open_run& open) {
   run_key const& key = keys_[id];
-  // The job may be gone by the time that the run ends.
+  // The job may be removed from the table before the run ends.
   job_entry* const job = dependencies_.table.find(key.job);
   if (job != nullptr) open.request = fingerprint_of(*job, key.index);
   open.exchange->abort();
--- a/src/jobs/sample_runner.h
+++ b/src/jobs/sample_runner.h
@@ -49,7 +49,7 @@
   explicit sample_runner(runner_dependencies dependencies)
       : dependencies_(std::move(dependencies)) {}
 
-  /// Starts runnable samples and moves runs off slow engines.
+  /// Starts runnable samples and moves at most one run off a slow engine.
   void advance(time_point now);
   /// Aborts the runs of one job, or of all jobs if `job` is empty.
   void abort_runs(std::string const& job);
@@ -66,7 +66,7 @@
     completed,
     /// The engine refused the request without running it.
     refused,
-    /// No answer, or the connection broke off.
+    /// No valid response, a timeout, or the connection broke off.
     broken,
     /// The engine reported a failure.
     failed,
@@ -88,7 +88,8 @@
     bool single_version = false;
     std::string engine;
     time_point sent_at{};
-    /// Set when the run is aborted, since its job may be gone by the time that the run ends.
+    /// Fingerprint of the request. Set only when the run is aborted, since the job may be removed
+    /// from the table before the run ends.
     std::optional<quarantine::fingerprint> request;
   };
   using run_id = std::uint64_t;
@@ -101,6 +102,7 @@
   /// trial.
   bool may_start(job_entry& job, std::uint32_t index, time_point now);
   awaitable<void> request_trial(quarantine::fingerprint request);
+  /// Starts a run of the sample on `engine`.
   /// @param isolated result of must_be_isolated.
   void start(job_entry& job, std::uint32_t index, engines::engine_entry const& engine,
              bool isolated);
--- a/src/jobs/sample_scorer.cc
+++ b/src/jobs/sample_scorer.cc
@@ -14,7 +14,7 @@
 /// How long a quarantined call stays out of the queue.
 constexpr milliseconds k_quarantine_recheck_interval{1000};
 constexpr std::size_t k_min_concurrent_calls = 4;
-/// Interval at which the servers' slots are counted again.
+/// Interval at which the limit is recomputed from the servers' slots.
 constexpr milliseconds k_limit_refresh_interval{250};
 
 }  // namespace
--- a/src/jobs/sample_scorer.h
+++ b/src/jobs/sample_scorer.h
@@ -35,7 +35,8 @@
   std::uint64_t dead = 0;
 };
 
-/// Limit of concurrent calls for servers with `slots` slots in total: two thirds of them.
+/// Returns the limit of concurrent calls for servers with `slots` slots in total: two thirds of the
+/// slots, at least 4.
 std::size_t max_concurrent_calls(std::size_t slots);
 
 class sample_scorer {
@@ -54,16 +55,16 @@
   };
 
   void start_queued_calls();
-  /// Current limit of concurrent calls. Requires a non-empty queue.
+  /// Returns the current limit of concurrent calls. Requires a non-empty queue.
   std::size_t limit();
-  /// Next step after a call. `retry`: shortly; `requeue`: later, since the call is
-  /// quarantined.
+  /// Next step after a call. `retry`: call again after a short delay; `requeue`: return to the
+  /// queue after a longer delay, since the call is quarantined.
   enum class scoring_step { done, retry, requeue };
 
   awaitable<void> score(std::string job_id, std::uint32_t index);
   awaitable<scoring_step> score_once(std::string job_id, std::uint32_t index);
   awaitable<void> requeue_later(std::string job_id, std::uint32_t index);
-  /// The sample, or null if it no longer waits for its score.
+  /// Returns the sample, or null if the sample no longer waits for a score.
   sample_entry* find_scoring(std::string const& job_id, std::uint32_t index);
 
   scorer_dependencies dependencies_;
--- a/src/routing/back_end_picker.h
+++ b/src/routing/back_end_picker.h
@@ -1,5 +1,5 @@
 /// @file Chooses an application server: the less loaded of two random candidates, with ejection of
-/// servers that fail repeatedly. Pure.
+/// servers that fail repeatedly. No I/O; reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,8 @@
 
   /// @param candidates servers that may be used.
   /// @param tried servers that the request was already sent to.
-  /// @return nothing if no candidate is left. Ejected servers are used only if all are ejected.
+  /// @return nothing if no candidate is left. An ejected server is chosen only if all untried
+  /// candidates are ejected.
   std::optional<std::string> pick(std::vector<std::string> const& candidates,
                                   std::set<std::string> const& tried, time_point now);
 
--- a/src/routing/claim_store.h
+++ b/src/routing/claim_store.h
@@ -9,7 +9,8 @@
 
 namespace frostline::routing {
 
-/// Bounds of a claim's lifetime, which depends on the age of the lease that it shares.
+/// Shortest and longest lifetime of a claim. Claims share a lease, so the older the lease is when a
+/// claim is made, the shorter is the claim's lifetime.
 inline constexpr seconds k_min_claim_ttl{840};
 inline constexpr seconds k_max_claim_ttl{900};
 
--- a/src/routing/health_watch.h
+++ b/src/routing/health_watch.h
@@ -1,5 +1,5 @@
-/// @file Polls the health of application servers. Each server is watched by a few nodes, which
-/// spread the notice that it is leaving to all others by gossip.
+/// @file Polls the health of application servers. Each server is watched by a few nodes. When
+/// a server reports that it is leaving, these nodes announce that to all others by gossip.
 #pragma once
 
 #include <string>
@@ -15,7 +15,8 @@
 /// Number of nodes that watch each server.
 inline constexpr std::size_t k_watchers_per_server = 2;
 
-/// Returns the nodes that watch `server`: the live nodes with the highest rendezvous weight. Pure.
+/// Returns the nodes that watch `server`: the live nodes with the highest rendezvous weight for
+/// `server`.
 std::vector<std::string> watchers_of(std::string const& server, membership::table const& members);
 
 class health_watch {
--- a/src/routing/metrics.h
+++ b/src/routing/metrics.h
@@ -1,4 +1,5 @@
-/// @file Metrics of ordinary calls by route, with problems by reason.
+/// @file Metrics of proxied calls: answers, durations and retries by route, and problems by route
+/// and reason.
 #pragma once
 
 #include <prometheus/counter.h>
--- a/src/routing/proxy.h
+++ b/src/routing/proxy.h
@@ -65,6 +65,7 @@
   /// Outcome of one attempt.
   struct try_outcome {
     std::optional<http::response> answer;
+    /// Valid only if there is no answer.
     rpc::problem issue;
     /// The back end did not run the request: it may be retried even if the route is not repeatable.
     bool not_run = false;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,5 +1,5 @@
 /// @file Retry budget: limits retries to a fraction of first attempts, so that retries can't
-/// sustain an overload. Pure.
+/// sustain an overload.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
   /// @param percent retries allowed per hundred first attempts.
   void set_percent(std::uint32_t percent) { percent_ = percent; }
 
-  /// Adds the credit of a first attempt.
+  /// Adds the credit that a first attempt earns.
   void note_first_try() { balance_ = std::min(balance_ + percent_, k_max_balance); }
 
   /// Deducts the cost of a retry. @return false if the balance is too low.
@@ -28,7 +28,7 @@
   static constexpr std::uint32_t k_max_balance = 10 * k_retry_cost;
 
   std::uint32_t percent_ = 10;
-  /// Allows a new route a few retries before it has earned credit.
+  /// Credit in hundredths of a retry. A new route starts with credit for three retries.
   std::uint32_t balance_ = 3 * k_retry_cost;
 };
 
--- a/tests/unit/directory/server_directory_test.cc
+++ b/tests/unit/directory/server_directory_test.cc
@@ -59,7 +59,7 @@
   all.replace_all({original});
   LONGS_EQUAL(9, all.find("e-1")->born);
   CHECK(all.find("e-1")->state == server_state::ready);
-  // After removal, no record of the server is stale.
+  // After the removal, a record of an earlier incarnation is accepted again.
   all.remove("e-1");
   all.put(original);
   LONGS_EQUAL(5, all.find("e-1")->born);
--- a/tests/unit/engines/version_planner_test.cc
+++ b/tests/unit/engines/version_planner_test.cc
@@ -51,7 +51,8 @@
     board.update(all);
   }
 
-  /// Applies planned orders until none is left. @return the number of orders.
+  /// Plans orders and applies each as a completed load until no order is planned.
+  /// @return the number of orders.
   std::size_t load_all() {
     std::size_t count = 0;
     while (true) {
@@ -129,7 +130,7 @@
   set_engines(40, {{"m", 1}});
   demands["m"] = {2, 0};
   demands["m"].samples = 4;
-  // Twelve slots per sample, two per engine.
+  // 12 slots are wanted per sample, and an engine has 2.
   LONGS_EQUAL(24, load_all());
   demands["m"].samples = 1000;
   LONGS_EQUAL(16, load_all());
@@ -215,7 +216,7 @@
 }
 
 TEST(version_planner_test, cost_of_a_choice_does_not_depend_on_pool_size) {
-  // 300 runs are in flight; all other engines are idle.
+  // The number of engines examined for the next run while 300 runs are in flight.
   auto const examined_by_one_choice = [this](std::size_t engines) {
     board = engine_board();
     set_engines(engines, {{"m", 1}, {"other", 1}});
--- a/tests/unit/jobs/progress_replica_test.cc
+++ b/tests/unit/jobs/progress_replica_test.cc
@@ -115,8 +115,8 @@
   STRCMP_EQUAL("e0\ne1", transfer_to_next_owner().text.c_str());
 }
 
-// A restarted owner adopts a replica that is ahead of its own new runs. The next owner must not
-// receive a mix of both texts.
+// A restarted owner adopts a replica's text, which is longer than that of the owner's new run. The
+// next owner must not receive a mix of both texts.
 TEST(progress_replica_test, text_adopted_after_reports_of_another_run_is_reported_in_full) {
   run_events(0, 3, "previous");
   progress_replica previous_replica;
@@ -168,7 +168,7 @@
 
 TEST(progress_replica_test, report_with_a_gap_is_rejected_and_a_full_report_is_applied) {
   run_events(0, 1);
-  report();  // lost on its way
+  report();  // not delivered
   run_events(2, 3);
   CHECK_FALSE(replica.take(report(), now));
   owner_table.reset_replicated();
--- a/tests/unit/jobs/record_log_test.cc
+++ b/tests/unit/jobs/record_log_test.cc
@@ -78,7 +78,7 @@
   run_until_idle();
   LONGS_EQUAL(3, outcomes.size());
   for (write_outcome outcome : outcomes) CHECK(outcome == write_outcome::stored);
-  // The first is written alone; the others are grouped while it is in flight.
+  // The first entry is written alone; the others are queued meanwhile and share a transaction.
   CHECK(log.transactions() <= 2);
 }
 
--- a/tests/unit/jobs/result_reader_test.cc
+++ b/tests/unit/jobs/result_reader_test.cc
@@ -1,5 +1,5 @@
-/// @file Reading the results of closed jobs from the record store, and the limit of those that the
-/// owner sends.
+/// @file Reading the results of closed jobs from the record store, and the rate limit of results
+/// that the owner sends.
 
 #include "jobs/result_reader.h"
 
--- a/tests/unit/jobs/run_permission_test.cc
+++ b/tests/unit/jobs/run_permission_test.cc
@@ -11,7 +11,7 @@
   time_point const start{milliseconds(1'000'000)};
   run_permission permission{start};
 
-  /// Runs an iteration of the loop every 100 ms up to `until`.
+  /// Notes an iteration of the owner's loop every 100 ms from `from` up to `until`.
   void run_iterations(time_point from, time_point until, bool holds_lease) {
     for (time_point now = from; now <= until; now += milliseconds(100)) {
       permission.note_iteration(now, holds_lease);
--- a/tests/unit/routing/leaving_tracker_test.cc
+++ b/tests/unit/routing/leaving_tracker_test.cc
@@ -31,7 +31,8 @@
 }
 
 TEST(leaving_tracker_test, reported_and_listed_incarnations_are_not_compared) {
-  // Engines report their start time in milliseconds; the machine list counts from 1.
+  // Engines report their start time in Unix milliseconds as the incarnation; the machine list
+  // numbers incarnations from 1.
   tracker.mark("e", 1, leaving_source::operator_drain);
   CHECK(tracker.is_leaving("e", 1, 1'700'000'000'000));
   tracker.mark("f", 1'700'000'000'000, leaving_source::back_end);
