--- a/src/directory/service_index.h
+++ b/src/directory/service_index.h
@@ -15,7 +15,8 @@
 
 class service_index {
  public:
-  /// @param record referenced by the index; must outlive its entry and not change while indexed.
+  /// @param record referenced by the index; must outlive the index entry and not change while
+  /// indexed.
   void add(server const& record);
   void remove(server const& record);
 
--- a/src/engines/engine_board.cc
+++ b/src/engines/engine_board.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double k_gap_smoothing = 0.15;
-/// Time since its last update after which an engine's event gap is ignored.
+/// Age, counted from the last update, at which an engine's event gap expires.
 constexpr milliseconds k_gap_ttl{6000};
 constexpr milliseconds k_typical_gap_interval{50};
 constexpr milliseconds k_first_block{300};
--- a/src/engines/engine_client.h
+++ b/src/engines/engine_client.h
@@ -40,7 +40,7 @@
 enum class completion_end {
   /// The stream ended with its end marker.
   finished,
-  /// The engine reported that it did not run the request, or the connection failed.
+  /// The engine reported that it did not run the request, or no connection could be opened.
   refused,
   /// The request is invalid and must not be retried.
   rejected,
--- a/src/engines/engine_index.h
+++ b/src/engines/engine_index.h
@@ -56,21 +56,21 @@
   std::set<rank>::const_iterator next_;
 };
 
-/// Totals over the ready engines of one model.
+/// Totals over the ready engines that hold a version of one model.
 struct model_counts {
   std::size_t engines = 0;
   /// Requests that the engines can execute concurrently.
   std::size_t total_slots = 0;
-  /// Engines that hold the newest version, or are loading it.
+  /// Number of engines that hold the newest version, or are loading it.
   std::size_t up_to_date = 0;
-  /// Engines that hold a version that jobs may use, or are loading one.
+  /// Number of engines that hold a version that jobs may use, or are loading one.
   std::size_t usable = 0;
 };
 
 class engine_index {
  public:
   engine_index() = default;
-  // Not copyable: engines hold pointers into `models_`.
+  // Not copyable: `engines_` holds pointers into `models_`.
   engine_index(engine_index const&) = delete;
   engine_index& operator=(engine_index const&) = delete;
   engine_index(engine_index&&) = default;
--- a/src/engines/sse_parser.h
+++ b/src/engines/sse_parser.h
@@ -29,8 +29,8 @@
   bool finished = false;
 };
 
-/// Parses the payload of one event. @return nothing if it is malformed or has tokens without a
-/// version.
+/// Parses the payload of one event. @return nothing if the payload is malformed or has tokens
+/// without a version.
 std::optional<token_event> parse_token_event(std::string const& payload);
 
 }  // namespace frostline::engines
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -206,8 +206,8 @@
   }
   auto const rank = [](run_candidate const& candidate) {
     sample_entry const& sample = candidate.job->samples[candidate.index];
-    // Partially run samples are closest to completion. Resubmitted ones are usually long, and their
-    // job needs them.
+    // Partially run samples are closest to completion. Resubmitted samples are usually long, so a
+    // late start would delay the end of the job.
     bool const has_not_run = sample.events == 0;
     bool const deferrable = has_not_run && !sample.resubmitted;
     job_policy const& policy = candidate.job->policy;
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -156,7 +156,7 @@
   bool add_unrecorded(rpc::JobRecordT record, time_point now);
   /// Marks the job's record as stored.
   void mark_recorded(std::string const& id);
-  /// Jobs without a stored record that were added at `before` or earlier.
+  /// Returns the jobs without a stored record that were added at `before` or earlier.
   std::vector<std::string> unrecorded_jobs(time_point before) const;
   /// Applies a stored batch of results. Ignores results that are listed already, and a batch that
   /// would leave a gap.
@@ -168,8 +168,9 @@
   job_entry* find(std::string const& id);
   std::map<std::string, std::unique_ptr<job_entry>>& jobs() { return jobs_; }
 
-  /// Samples that may be started, in scheduling order: by the tenant's and the route's priority,
-  /// then partially run and resubmitted samples, then the job's age, then the longest expected run.
+  /// Returns the samples that may be started, in scheduling order: by the tenant's and the route's
+  /// priority, then partially run and resubmitted samples, then the job's age, then the longest
+  /// expected run.
   std::vector<run_candidate> runnable(time_point now);
   run_key start(job_entry& job, std::uint32_t index, std::string engine, time_point now);
   /// Returns the sample of this run; null if the run is no longer current.
@@ -188,7 +189,8 @@
   void requeue(sample_entry& sample, time_point not_before);
   /// As requeue, but discards the text, so that the next run starts over.
   void restart(sample_entry& sample, time_point not_before);
-  /// Marks the unfinished samples dead whose job is older than its max_queue.
+  /// Finishes with outcome DEAD the unfinished samples of each job that is older than `max_queue`
+  /// of the job's policy.
   void expire(time_point now);
 
   /// Returns the changes of unlisted samples of open jobs since the last call. Stops once the texts
@@ -203,8 +205,8 @@
                                                     std::size_t limit);
   /// Makes the next checkpoint hold full texts.
   void reset_checkpoints();
-  /// Adopts a sample's progress from the previous owner if it is ahead of the local progress, and
-  /// invalidates a local run of the sample. @return true if it was adopted.
+  /// Adopts a sample's progress from the previous owner if that has a result or more events than
+  /// the local progress, and invalidates a local run of the sample. @return true if adopted.
   bool adopt(rpc::SampleProgressT const& progress, time_point now);
 
   /// Returns the next results to commit, if a commit is due. At most `limit` bytes, but at least
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -74,8 +74,8 @@
 }
 
 void pool_owner::note_servers(std::vector<std::string> const& ids) {
-  // Nodes that don't own the pool know at most a part of its engines, so their board is rebuilt
-  // when they take over.
+  // A node that does not own the pool may lack records of some engines, so the board is rebuilt
+  // when the node takes over.
   if (state_ == owner_state::standby) board_is_stale_ = true;
   if (!board_is_stale_) changed_servers_.insert(ids.begin(), ids.end());
   notify();
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -1,5 +1,6 @@
-/// @file Owner of a pool: accepts jobs, runs their samples and lists their results. Active only
-/// while this node holds the pool's lease.
+/// @file Owner of a pool: accepts jobs, runs their samples and lists their results. Accepts
+/// jobs only while this node holds the pool's lease; runs may continue for a while after a loss of
+/// the lease (see run_permission).
 #pragma once
 
 #include <cstdint>
@@ -113,8 +114,8 @@
   void restore_job(std::string const& id, stored_job stored);
   /// Waits for a bounded time until the data of an ended job is loaded.
   awaitable<void> ensure_loaded(std::string id);
-  /// Answers a call about an unloaded ended job from its mark; returns nothing if its data is
-  /// needed.
+  /// Answers a call about an unloaded ended job from the job's end mark; returns nothing if the
+  /// job's data is needed.
   std::optional<rpc::JobReplyT> reply_from_mark(rpc::JobCallT const& call);
   /// Queues an ended job for loading. Jobs are loaded one at a time, so that they don't delay this
   /// node's writes.
@@ -138,7 +139,7 @@
   void forget_expired_jobs(time_point now);
   awaitable<void> erase(std::string id);
   awaitable<rpc::JobReplyT> submit(rpc::JobCallT call);
-  /// Writes a job's record. Its samples start before the write completes if that takes long.
+  /// Writes a job's record. If the write takes long, the job's samples start before it completes.
   void begin_submission(rpc::JobRecordT record);
   /// Lets a job's samples run while its record is still being written.
   awaitable<void> run_before_recorded(std::uint64_t term, std::shared_ptr<rpc::JobRecordT> record);
--- a/src/jobs/progress_replica.cc
+++ b/src/jobs/progress_replica.cc
@@ -189,7 +189,7 @@
 
 void progress_sender::send_to_all(rpc::ProgressReportT report) {
   auto const shared = std::make_shared<rpc::ProgressReportT const>(std::move(report));
-  // A failed send removes its replica, perhaps during this loop.
+  // A failed send removes the replica from `replicas_`, possibly during this loop.
   std::set<endpoint> const all = replicas_;
   pending_replies_ = all.size();
   for (endpoint const& where : all) spawn(context_, send(where, shared));
