--- a/src/directory/service_index.h
+++ b/src/directory/service_index.h
@@ -1,5 +1,5 @@
 /// @file Index of servers by service and by address. It is updated incrementally, so that queries
-/// do not scan all servers. Pure.
+/// do not scan all servers.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,8 @@
 
 class service_index {
  public:
-  /// @param record referenced by the index; must outlive its entry and not change while indexed.
+  /// @param record referenced by the index; must outlive the index entry and not change while
+  /// indexed.
   void add(server const& record);
   void remove(server const& record);
 
