--- a/src/http/client.h
+++ b/src/http/client.h
@@ -21,7 +21,8 @@
 
 /// Selects the connection for a request.
 enum class connection_use {
-  /// A pooled connection may be used; the peer may close it before it reads the request.
+  /// A pooled connection may be used; the peer may close that connection before it reads the
+  /// request.
   pooled,
   /// A new connection is used for this request only, so a failed connect proves that the request
   /// was not run.
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -20,6 +20,7 @@
   milliseconds read_timeout{10'000};
   /// Longest time that an idle connection is kept open.
   milliseconds idle_timeout{60'000};
+  /// Maximum number of open connections; further ones are closed when accepted.
   std::size_t connections = 4096;
 };
 
@@ -55,7 +56,7 @@
   /// Returns the bound port, which the kernel chooses for port 0.
   std::uint16_t port() const;
 
-  /// Ends keep-alive: each further response closes its connection.
+  /// Disables keep-alive: each connection is closed after its next response.
   void drain();
 
   /// Stops accepting connections; open ones are kept.
--- a/src/kv/circuit_breaker.h
+++ b/src/kv/circuit_breaker.h
@@ -1,5 +1,6 @@
 /// @file Circuit breaker for requests to the key-value service. After a failure it blocks requests
-/// for a jittered backoff that doubles with each further failure. The caller passes in the time.
+/// for a jittered backoff that doubles with each further failure, up to k_max_backoff. The caller
+/// passes in the time.
 #pragma once
 
 #include <algorithm>
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -28,7 +28,7 @@
   /// effect.
   awaitable<result<transaction_answer>> apply(transaction change);
   awaitable<result<lease_id>> grant_lease(seconds time_to_live);
-  /// Renews a lease. @return the remaining time in seconds, or errc::lease_expired.
+  /// Renews a lease. @return the remaining time to live in seconds, or errc::lease_expired.
   awaitable<result<std::uint64_t>> keep_alive(lease_id lease);
   awaitable<result<std::uint64_t>> revoke(lease_id lease);
   /// Passes changes below `prefix` from revision `start` on to `sink`, until the stream ends or
@@ -36,7 +36,8 @@
   awaitable<std::error_code> watch(std::string prefix, revision start,
                                    std::function<bool(watch_batch const&)> sink);
 
-  /// Time of the last answer from the service; time_point::min() before the first.
+  /// Time of the last successful response or watch data from the service; time_point::min() before
+  /// the first.
   time_point last_answer() const { return last_answer_; }
   std::uint64_t operations() const { return operations_; }
 
--- a/src/kv/errc.h
+++ b/src/kv/errc.h
@@ -6,13 +6,13 @@
 namespace frostline::kv {
 
 enum class errc {
-  /// The service did not accept the request; nothing changed.
+  /// The request was not sent, or the service refused it; nothing changed.
   unavailable = 1,
   /// The service rejected the request because of its rate limit; nothing changed.
   rate_limited,
   /// The request may have taken effect; the caller has to read the keys to find out.
   outcome_unknown,
-  /// The answer does not follow the protocol.
+  /// The answer has an unexpected status or does not follow the protocol.
   malformed_answer,
   /// The lease has expired or was revoked.
   lease_expired,
--- a/src/kv/prefix_watcher.cc
+++ b/src/kv/prefix_watcher.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::string_view k_part = "kv";
-/// Backoff after consecutive failed calls: doubles up to the maximum, which stays below the time in
-/// which changes must take effect.
+/// Upper bound of the jittered wait after a failed watch; doubles with each consecutive failed
+/// list, at most k_max_doublings times.
 constexpr milliseconds k_retry_backoff{150};
 constexpr std::uint32_t k_max_doublings = 2;
 
@@ -40,7 +40,7 @@
         listed ? co_await watch_once(generation) : co_await list_once(generation);
     if (generation != generation_) co_return;
     current_ = succeeded;
-    // After a failed watch the list follows at once; only a failed list backs off.
+    // A failed watch does not increase the backoff; only consecutive failed lists do.
     failures = succeeded || listed ? 0 : failures + 1;
     listed = succeeded;
     if (succeeded) continue;
@@ -54,7 +54,7 @@
   auto answer = co_await store_.list(prefix_);
   if (generation != generation_ || !answer) co_return false;
   answered_at_ = sent_at;
-  // An answer older than the current view would revert changes.
+  // Applying an answer that is older than the current view would revert changes.
   if (answer.value().store_revision < revision_) co_return false;
   revision_ = answer.value().store_revision;
   if (!loaded_) {
--- a/src/kv/prefix_watcher.h
+++ b/src/kv/prefix_watcher.h
@@ -1,5 +1,5 @@
 /// @file Keeps a view of the records below a prefix up to date: lists them once, then watches for
-/// changes. Lists again if the store has compacted the revisions in between or the watch failed.
+/// changes. Lists again if a watch fails or the store has compacted revisions that the watch needs.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,8 @@
 
 namespace frostline::kv {
 
-/// Callbacks of a prefix_watcher. A `snapshot` replaces all records known below the prefix.
+/// Callbacks of a prefix_watcher. `snapshot` receives all records below the prefix, which replace
+/// those delivered before; `event` receives one change.
 struct prefix_watcher_callbacks {
   std::function<void(range_answer const&)> snapshot;
   std::function<void(watch_event const&)> event;
@@ -24,19 +25,20 @@
   std::function<void(std::vector<std::string> const&)> dropped = nullptr;
 };
 
-/// Watch wait for records whose changes must arrive within two to three seconds even if a
-/// connection is lost. With the 0.8 s that the store client allows for the answer, a dead watch is
-/// detected after 2 s.
+/// prefix_watcher_options::watch_wait for records whose changes must arrive within three seconds
+/// even if a connection is lost.
 inline constexpr milliseconds k_prompt_watch_wait{1200};
-/// Watch wait for other records. TCP keepalive detects a dead connection earlier, but not a lost
-/// answer.
+/// prefix_watcher_options::watch_wait for other records. TCP keepalive detects a dead connection
+/// earlier, but not a lost answer.
 inline constexpr milliseconds k_watch_wait{10'000};
 
 struct prefix_watcher_options {
-  /// Time between an answer with changes and the next watch; batches the changes in between.
+  /// Time between an answer with changes and the next watch; changes during the pause arrive
+  /// together.
   milliseconds pause{0};
-  /// Longest time that one watch waits at the store. A dead connection or a lost answer is detected
-  /// after this time plus the margin of the store client.
+  /// Longest time that the store may hold one watch request open without changes. A dead connection
+  /// or a lost answer is detected after this time plus the time that the store client allows for
+  /// the answer to arrive.
   milliseconds watch_wait = k_watch_wait;
 };
 
@@ -52,16 +54,17 @@
   /// Abandons the current watch and lists again, for example after the store was unreachable or
   /// this process was suspended.
   void resynchronize();
-  /// Changes prefix_watcher_options::pause; applies from the next answer on.
+  /// Changes prefix_watcher_options::pause; applies from the next answer with changes on.
   void set_pause(milliseconds pause) { options_.pause = pause; }
   /// Returns true once a snapshot has arrived.
   bool is_loaded() const { return loaded_; }
-  /// Returns true if the last call since the last start or resynchronization succeeded.
+  /// Returns true if the last list or watch succeeded; false after `start` and `resynchronize`
+  /// until the list succeeds.
   bool is_current() const { return current_; }
   /// Revision up to which all changes have been delivered.
   revision at() const { return revision_; }
-  /// Time as of which the view is known to be current: when the last list was sent or the last
-  /// watch answered; time_point::min() before the first answer.
+  /// When the store last answered: the send time of a list, or the arrival time of the answer to a
+  /// successful watch; time_point::min() before the first answer.
   time_point answered_at() const { return answered_at_; }
 
  private:
@@ -74,7 +77,7 @@
   std::string prefix_;
   prefix_watcher_callbacks callbacks_;
   prefix_watcher_options options_;
-  /// Incremented by start, stop and resynchronize; loops of older generations end silently.
+  /// Incremented by start, stop and resynchronize; the loops of older generations then return.
   std::uint64_t generation_ = 0;
   revision revision_ = 0;
   time_point answered_at_ = time_point::min();
--- a/src/kv/record_store.h
+++ b/src/kv/record_store.h
@@ -30,15 +30,17 @@
   virtual awaitable<result<bool>> exceeds_one_page(std::string prefix) = 0;
   /// @param timeout after which the call fails with errc::outcome_unknown.
   virtual awaitable<result<transaction_answer>> apply(transaction change, milliseconds timeout) = 0;
-  /// Waits up to `wait` for changes below `prefix` after revision `after`. An answer without events
-  /// still advances `store_revision`. Fails with errc::watch_silent if no answer arrives in time.
+  /// Waits up to `wait` for changes below `prefix` after revision `after`. `store_revision` of the
+  /// answer may be newer than `after` even if there are no events. Fails with errc::watch_silent if
+  /// no answer arrives in time.
   virtual awaitable<result<watch_batch>> watch(std::string prefix, revision after,
                                                milliseconds wait) = 0;
   virtual awaitable<result<lease_id>> grant_lease(milliseconds time_to_live) = 0;
   /// @return the time to live that the store applied, or errc::lease_expired.
   virtual awaitable<result<milliseconds>> renew_lease(lease_id lease) = 0;
   virtual awaitable<result<bool>> end_lease(lease_id lease) = 0;
-  /// Checks that the store is reachable, with its cheapest call. The answer may be stale.
+  /// Checks that the store answers within `timeout`, using a cheap read that may be stale. Fails
+  /// with an error if it does not.
   virtual awaitable<result<bool>> probe(milliseconds timeout) = 0;
 };
 
--- a/src/kv/types.h
+++ b/src/kv/types.h
@@ -15,6 +15,7 @@
   std::string value;
   revision create_revision = 0;
   revision mod_revision = 0;
+  /// Lease with which the entry expires; 0 if none.
   lease_id lease = 0;
 };
 
@@ -35,6 +36,7 @@
   operation_kind kind = operation_kind::put;
   std::string key;
   std::string value;
+  /// Lease to bind the entry to; 0 for none.
   lease_id lease = 0;
 };
 
--- a/src/membership/table.cc
+++ b/src/membership/table.cc
@@ -34,8 +34,8 @@
 /// Binary logarithm of the number of members (16) up to which the suspicion timeout is not scaled.
 constexpr double k_members_log_for_base_suspicion = 4;
 
-/// Updates of members that are not alive carry no addresses: they matter only to nodes that already
-/// know the member.
+/// Queued updates about members that are not alive are sent without addresses: only nodes that
+/// already have the member in their table use them.
 bool is_sent_bare(member_update const& update) { return update.state != member_state::ALIVE; }
 
 member_update bare_state(member_update const& update) {
@@ -186,8 +186,8 @@
   }
   member& held = found->second;
   if (!supersedes(update, held.update)) return;
-  // All nodes ping this member from the same machine list, so its first contact is not
-  // disseminated.
+  // Each node pings the members in the machine list itself, so the first incarnation received of
+  // such a member is not disseminated.
   bool const first_heard = held.update.incarnation == 0 && update.state == member_state::ALIVE;
   if (update.gossip_address.empty()) {
     held.update.incarnation = update.incarnation;
@@ -312,7 +312,7 @@
   if (found == members_.end()) return;
   if (found->second.update.state == member_state::ALIVE) {
     set_state(found->second, member_state::SUSPECT, now);
-    // The suspect learns of it immediately, so that it can refute before the suspicion spreads.
+    // Tells the member immediately, so that it can refute the suspicion before that spreads.
     gossip_message message = make_message(rpc::GossipKind::PING, ++sequence_);
     message.updates.push_back(std::make_unique<member_update>(found->second.update));
     out.push_back({found->second.update.gossip_address, std::move(message)});
--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -27,8 +27,8 @@
   /// A suspect that does not refute within this time is declared dead. Scaled by the logarithm of
   /// the number of members, since so does the time that a refutation takes to reach all of them.
   milliseconds suspicion_timeout{3000};
-  /// If this node's own timer is later than this, the node was suspended or overloaded, and the
-  /// missed time does not count against other members.
+  /// If two calls of `tick` are further apart than this, this node was suspended or overloaded: it
+  /// discards its current probe and extends all suspicions by the time between the calls.
   milliseconds own_pause{400};
   /// A dead or departed member is removed after this time.
   milliseconds forget_after{120'000};
@@ -47,8 +47,10 @@
 /// A member in the view of this node.
 struct member {
   member_update update;
-  /// Time of the last state change.
+  /// Time of the last state or incarnation change; extended for suspects after a pause of this
+  /// node.
   time_point since;
+  /// When this node last received a message from the member; time_point::min() if never.
   time_point last_heard = time_point::min();
 
   bool is_alive() const {
@@ -60,7 +62,8 @@
  public:
   table(member_update self, timing times, std::uint64_t seed);
 
-  /// Adds a node from the machine list; has no effect on a known member.
+  /// Adds a node from the machine list as alive; has no effect if it is this node or already in the
+  /// table.
   void add_seed(member_update const& seed, time_point now);
   /// Runs the timers. Returns messages to send.
   std::vector<outgoing_message> tick(time_point now);
@@ -69,26 +72,31 @@
   /// Marks this node as leaving. Returns messages that announce it.
   std::vector<outgoing_message> leave(time_point now);
 
-  /// Sets the facts about this node that every message carries.
+  /// Sets values that every message of this node carries.
+  /// @param config_revision revision of this node's configuration.
+  /// @param kv_age time since the key-value service last answered, as far as this node knows.
   void set_local_facts(std::uint64_t config_revision, milliseconds kv_age);
 
-  /// Disseminates to all nodes that a back end is leaving.
+  /// Disseminates to all nodes that a back end is leaving. Has no effect if this or a higher
+  /// incarnation of the back end is already marked as leaving.
   void spread_leaving(std::string const& back_end, std::uint64_t incarnation);
-  /// Highest incarnation of each back end that is known from gossip to be leaving.
+  /// Highest incarnation of each back end that this node or a gossip message marked as leaving.
   std::map<std::string, std::uint64_t> const& leaving_back_ends() const { return leaving_; }
 
   std::map<std::string, member> const& members() const { return members_; }
   member const* find(std::string const& id) const;
   member_update const& self() const { return self_; }
-  /// Incremented by each change of the table.
+  /// Incremented when a member is added or updated, and when a back end is marked as leaving; not
+  /// when a member is removed.
   std::uint64_t change_count() const { return changes_; }
-  /// The member with the highest configuration revision seen in gossip.
+  /// The member that first sent the highest configuration revision received; empty if none was.
   std::string const& newest_config_holder() const { return newest_config_holder_; }
   std::uint64_t newest_config_revision() const { return newest_config_revision_; }
-  /// Latest time at which a peer is known to have reached the key-value service.
+  /// Latest time at which the key-value service answered according to messages of other members;
+  /// time_point::min() before the first message.
   time_point kv_known_at() const { return kv_known_at_; }
-  /// When a message from another zone was last received (from any node, if there are no other
-  /// zones); time_point::min() if never.
+  /// When a message from another zone was last received (from any node, if no member is in another
+  /// zone); time_point::min() if never.
   time_point last_heard_outside_zone() const { return last_heard_outside_zone_; }
   bool knows_other_members() const;
 
@@ -122,11 +130,11 @@
   std::size_t retransmissions() const;
   void attach_leaving(gossip_message& message);
   std::string next_target();
-  /// Pings members that are known only from the machine list.
+  /// Pings some of the members in the machine list from which no message has arrived yet.
   void ping_uncontacted(std::vector<outgoing_message>& out);
   void expire(time_point now);
   milliseconds scaled_suspicion_timeout() const;
-  /// After a pause of this node, extends suspicions by the missed time.
+  /// Applies timing::own_pause.
   void compensate_own_pause(time_point now);
   std::optional<outgoing_message> probe_dead_member(time_point now);
 
--- a/src/ownership/owner_lease.cc
+++ b/src/ownership/owner_lease.cc
@@ -18,14 +18,14 @@
 constexpr milliseconds k_acquisition_delay{80};
 constexpr milliseconds k_acquisition_jitter{240};
 constexpr milliseconds k_retry_backoff{200};
-/// Processor share, in cores, from which a node has no claim delay.
+/// Nodes with at least this processor share, in cores, have no claim delay.
 constexpr double k_full_strength_share = 0.5;
-/// Exceeds the typical jitter of the first of a few strong nodes.
+/// Claim delay of a node whose processor share is close to zero.
 constexpr milliseconds k_max_claim_delay{250};
 constexpr milliseconds k_transaction_timeout{1500};
 constexpr milliseconds k_orderer_timeout{400};
-/// Longest timeout of an order or a report: its sender has abandoned it and closed the connection
-/// by then. The previous owner stops before its lease expires.
+/// Longest timeout of an order or a report. The previous owner sends no orders after its lease has
+/// expired, so none is in flight once this time has passed.
 constexpr milliseconds k_max_order_duration{800};
 
 }  // namespace
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -7,8 +7,8 @@
 /// entitled to give orders. An owner writes it before its first order, and acquires the resource
 /// only if the orderer's record is unchanged. The last orderer may therefore give orders
 /// immediately when it acquires the resource again. Any other node waits until no order of the last
-/// orderer can be in flight. If that node may itself have given orders earlier, it also waits until
-/// the order gap has passed since then, so that orders of two nodes do not alternate.
+/// orderer can be in flight. If the waiting node may itself have given orders earlier, it also
+/// waits until the order gap has passed since then, so that orders of two nodes do not alternate.
 #pragma once
 
 #include <cstdint>
@@ -53,7 +53,7 @@
 /// system. All other resources are pools.
 inline constexpr std::string_view k_duties_prefix = "duties/";
 
-/// Returns the claim delay for a node with a processor allowance of `processor_share` cores.
+/// Returns the claim delay of a node that may use `processor_share` processor cores.
 milliseconds claim_delay_of(double processor_share);
 
 /// Acquires and keeps the ownership of one resource. Orders are any requests that only one node at
@@ -82,7 +82,8 @@
 
   /// Returns true if this node may act as owner: its lease cannot have expired at the store.
   bool holds(time_point now) const;
-  /// Send time of the last request by which the store confirmed the lease.
+  /// Send time of the last request by which the store confirmed the lease; time_point::min() if
+  /// there was none.
   time_point confirmed_at() const { return confirmed_at_; }
   lease_state state() const { return state_; }
   std::uint64_t epoch() const { return epoch_; }
@@ -93,14 +94,15 @@
   /// Sets whether this node holds a replica of the owner's progress, and therefore tries to acquire
   /// the resource before nodes without one.
   void set_preferred(bool preferred) { preferred_ = preferred; }
-  /// Sets the minimum time between two orders of a node if another node gave orders in between.
+  /// Sets the minimum time from the end of this node's previous ownership to its next order if
+  /// another node is the last orderer.
   void set_order_gap(milliseconds gap) { order_gap_ = gap; }
   std::optional<known_owner> const& owner() const { return owner_; }
   std::string const& resource() const { return resource_; }
 
   /// Sets callbacks: `gained` is called when this node becomes owner, `lost` when it stops.
   void on_change(std::function<void()> gained, std::function<void()> lost);
-  /// Waits until the known owner changes, or until `deadline`.
+  /// Waits until the known owner or this node's state may have changed, or until `deadline`.
   awaitable<void> wait_for_change(time_point deadline) { return changed_.wait_until(deadline); }
 
  private:
--- a/src/ownership/ownership_manager.h
+++ b/src/ownership/ownership_manager.h
@@ -1,5 +1,5 @@
 /// @file Maintains this node's lease and its owner records in the key-value service: acquires free
-/// resources, and releases some when it owns more than its share.
+/// resources, and releases resources while this node owns more than its share.
 #pragma once
 
 #include <functional>
@@ -16,15 +16,15 @@
 class ownership_manager {
  public:
   /// @param address HTTP address to publish in owner records.
-  /// @param list_resources returns all resources currently known to need an owner.
+  /// @param list_resources returns all resources that need an owner.
   ownership_manager(asio::io_context& context, kv::client& service, config::store const& store,
                     config::sync& sync, membership::table const& members, identity self,
                     std::string address, std::function<std::vector<resource>()> list_resources);
 
   void start();
-  /// Releases all owned resources, for a planned shutdown.
+  /// Stops acquiring resources and revokes the lease, which releases all owned resources.
   awaitable<void> release_all();
-  /// Stops acquiring resources.
+  /// Stops acquiring resources and renewing the lease, so that owned resources become free.
   void stop() { stopping_ = true; }
 
   /// Epoch at which this process owns a resource; 0 if it does not own it.
--- a/src/ownership/planner.cc
+++ b/src/ownership/planner.cc
@@ -44,12 +44,12 @@
   return best == nullptr ? std::string() : best->node;
 }
 
-/// Returns true if the process that wrote the record is known to have ended.
+/// Returns true if the record is of an earlier process of this node, or its node was declared dead.
 bool owner_is_gone(rpc::OwnerRecordT const& record, identity const& self,
                    membership::table const& members) {
   if (record.node == self.node) return record.incarnation < self.incarnation;
   membership::member const* owner = members.find(record.node);
-  if (owner == nullptr) return false;  // unknown: its record lasts until its lease expires
+  if (owner == nullptr) return false;  // not a member: wait for the lease to expire
   return owner->update.state == membership::member_state::DEAD;
 }
 
--- a/src/ownership/planner.h
+++ b/src/ownership/planner.h
@@ -50,7 +50,7 @@
     std::map<std::string, config::store::owner_entry const*> const& owner_of);
 
 /// Returns the key of a resource to release, so that nodes that have joined get their share: one
-/// for which another live node is preferred, while this node owns clearly more than its share.
+/// for which another live node is preferred, if this node owns over about 1.25 times its share.
 /// @param held keys that this node owns.
 /// @return at most one key, so that moves are spread over time.
 std::optional<std::string> plan_release(std::vector<resource> const& resources,
--- a/src/rpc/blocking.h
+++ b/src/rpc/blocking.h
@@ -9,7 +9,7 @@
 
 namespace frostline::rpc {
 
-/// Runs `work` on `context` until it completes. @return the result of `work`.
+/// Runs `context` until `work` completes. @return the result of `work`.
 template <class Value>
 Value run_blocking(asio::io_context& context, awaitable<Value> work) {
   std::optional<Value> outcome;
--- a/src/rpc/problem.h
+++ b/src/rpc/problem.h
@@ -52,7 +52,7 @@
   reason why = reason::internal_error;
   std::string detail;
   run_state state = run_state::not_run;
-  /// Time after which to retry; zero if a retry does not help.
+  /// Suggested delay before a retry; zero if no retry is suggested.
   milliseconds retry_after{0};
 };
 
--- a/tests/unit/ownership/owner_lease_test.cc
+++ b/tests/unit/ownership/owner_lease_test.cc
@@ -44,7 +44,7 @@
     store.put_now(owner_lease::orderer_key_of("pool"), rpc::encode(record));
   }
 
-  /// Delivers the store's records, like the follower of the owners.
+  /// Delivers the store's records, like the watcher of the owners' records.
   void deliver(owner_lease & target) {
     bool owned = false;
     for (kv::key_value const& record : store.list_now(owner_lease::key_of("pool"))) {
@@ -90,7 +90,7 @@
 }
 
 TEST(owner_lease_test, pool_is_acquired_after_an_unconfirmed_owner_is_forgotten) {
-  // The follower is behind: it delivers that there is no owner, and never sees the present record.
+  // The watcher is behind: it delivers that there is no owner, and never sees the present record.
   put_owner("other", "t");
   lease.start();
   lease.note_record(nullptr);
