--- a/src/relay/claim_timer.h
+++ b/src/relay/claim_timer.h
@@ -16,13 +16,14 @@
   /// second), so that restarting all nodes does not change the relays.
   milliseconds relay_timeout{1500};
   /// Maximum random delay. Spreads the claims of nodes that see the same failure, so that most of
-  /// them learn of the first claim (two calls, tens of milliseconds) before making their own.
+  /// them learn of the first claim before making their own.
   milliseconds jitter{1200};
   /// Additional delay of a node with a small processor share.
   milliseconds claim_delay{0};
-  /// Additional delay while no relay answers, since this node itself may be partitioned.
+  /// Additional delay before replacing a relay while no relay of another zone serves this node
+  /// either, since this node itself may be partitioned.
   milliseconds isolation_timeout{3000};
-  /// Pause after an unsuccessful claim, plus jitter.
+  /// Minimum time from one claim to the next, plus jitter.
   milliseconds retry_backoff{2000};
 };
 
@@ -43,8 +44,9 @@
  public:
   claim_timer(claim_options options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  /// Returns true if the zone's record should be claimed now, at the revision in `health`. The
-  /// wait restarts while no source serves, so that nodes do not all claim when the store recovers.
+  /// Returns true if the zone's record at revision `health.record` should be replaced now. The wait
+  /// restarts while no source serves this node, so that nodes do not all claim when the store
+  /// recovers.
   bool is_due(relay_health const& health, time_point now);
   /// Delays the next claim after an attempt.
   void postpone(time_point now);
--- a/src/relay/feed_times.h
+++ b/src/relay/feed_times.h
@@ -5,15 +5,15 @@
 
 namespace frostline::relay {
 
-/// How long a poll waits at a relay for a change, and how much later its reply may arrive before
-/// the relay counts as failed. Together under a second: half of the two seconds in which a change
-/// must take effect everywhere.
+/// How long the polled node may wait for a change before it replies.
 inline constexpr milliseconds k_poll_wait{700};
+/// Time allowed beyond the wait for the reply to arrive; after that the polled node counts as
+/// failed.
 inline constexpr milliseconds k_answer_margin{250};
-/// How long relays that are authoritative for all topics but the servers are given to find another
-/// source of servers' records: an unresponsive pool owner (0.95 s) and then a list from the store.
+/// How long a node accepts answers that are authoritative for all topics except the servers, so
+/// that its relay can find another source of servers' records.
 inline constexpr milliseconds k_servers_timeout{3000};
-/// Spreads the reads of servers' records by nodes that have lost their relay.
+/// Maximum additional wait before a node that has lost its relay reads servers' records itself.
 inline constexpr milliseconds k_servers_jitter{9000};
 
 }  // namespace frostline::relay
--- a/src/relay/peer_poll.cc
+++ b/src/relay/peer_poll.cc
@@ -8,7 +8,7 @@
 namespace frostline::relay {
 namespace {
 
-/// Ages are capped at this value; larger ones could overflow the clock's unit.
+/// Ages in replies are capped at this value; larger ones could overflow time_point.
 constexpr milliseconds k_max_age{24 * 3600 * 1000};
 
 kv::watch_event decode_change(rpc::RecordChangeT const& change) {
@@ -33,7 +33,7 @@
     return;
   }
   for (auto const& change : update.changes) views.take_event(update.topic, decode_change(*change));
-  // Otherwise changes to other records of this view may be missing from the reply.
+  // A reply for fewer records than the view holds may lack changes to the view's other records.
   if (selected.covers(views.view(update.topic).selection())) {
     views.advance(update.topic, update.store_revision);
   }
@@ -63,7 +63,7 @@
 std::string apply_reply(rpc::PollReplyT const& reply, poll_request const& request,
                         time_point sent_at, topic_views& views) {
   milliseconds const waited = std::min(milliseconds(reply.waited_ms), request.wait);
-  // Before the changes, since listeners need the recovery time to interpret them.
+  // Set before the changes are applied, since listeners need the recovery time to interpret them.
   auto const since_recovery = std::min(milliseconds(reply.store_back_ms_ago), k_max_age);
   if (since_recovery < k_max_age) views.note_store_recovery(sent_at + waited - since_recovery);
   std::string doubts;
@@ -71,7 +71,7 @@
     if (index_of(update->topic) >= k_topics.size()) continue;
     bool const wanted = update->topic != topic::SERVERS || request.accept_servers();
     if (wanted) apply_changes(*update, request.node, views);
-    // The network delay is unknown, so this is a lower bound.
+    // The network delay is unknown, so the topic was confirmed at this time or later.
     auto const age = std::min(milliseconds(update->confirmed_ms_ago), k_max_age);
     views.confirm(update->topic, sent_at + waited - age);
     if (update->sure) continue;
--- a/src/relay/peer_poll.h
+++ b/src/relay/peer_poll.h
@@ -21,7 +21,7 @@
   poll_outcome outcome = poll_outcome::failed;
   /// The peer is authoritative for all topics except the servers.
   bool only_servers_not_authoritative = false;
-  /// Why the poll failed, or which topics the peer was not authoritative for.
+  /// Why the poll failed, or which topics the peer was not authoritative for; otherwise empty.
   std::string cause;
   /// Newest revision among the changes received for each topic; 0 if there were none.
   std::array<kv::revision, k_topics.size()> newest_changes{};
@@ -32,7 +32,7 @@
   /// This node's address for calls from other nodes.
   endpoint self;
   std::string zone;
-  /// Processor allowance in cores.
+  /// Processor cores that this node may use.
   double processor_share = 0;
   milliseconds uptime{0};
   /// This node is shutting down.
--- a/src/relay/poll_service.cc
+++ b/src/relay/poll_service.cc
@@ -16,7 +16,7 @@
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, spent.count()));
 }
 
-/// Returns true for a topic that this version does not know; nodes of a newer version may send it.
+/// Returns true for a topic that this version does not support; newer nodes may request it.
 bool is_unknown(std::unique_ptr<rpc::TopicPositionT> const& position) {
   return index_of(position->topic) >= k_topics.size();
 }
--- a/src/relay/poll_service.h
+++ b/src/relay/poll_service.h
@@ -24,9 +24,9 @@
                std::function<bool(topic)> is_authoritative)
       : views_(views), is_authoritative_(std::move(is_authoritative)), changed_(context) {}
 
-  /// Answers immediately if there are changes or this node is not authoritative; otherwise waits
-  /// for a change. Also waits while neither node has loaded a topic, since a starting seed is
-  /// polled by all others.
+  /// Answers immediately if there are changes, or if this node is not authoritative and the call
+  /// does not prefer waiting; otherwise waits for a change. Also waits while neither node has
+  /// loaded a topic, since a starting seed is polled by all others.
   awaitable<rpc::PollReplyT> answer(rpc::PollCallT call);
   /// Called with the address of a polling node that is ahead of this node on a topic for which this
   /// node is not authoritative.
@@ -45,11 +45,11 @@
  private:
   void note_polling_node(rpc::PollCallT const& call);
   void note_peer_ahead(rpc::PollCallT const& call) const;
-  /// A requested position, with its subsets adjusted to this node's view.
+  /// What a poll requests of one topic, with the subsets adjusted to this node's view.
   struct topic_query {
     topic topic_id{};
     record_selection wanted;
-    /// Revision up to which the polling node holds the wanted records.
+    /// Revision up to which the polling node holds the wanted records; 0 requests a snapshot.
     kv::revision after = 0;
     /// This node holds all wanted records.
     bool covered = false;
--- a/src/relay/polling_nodes.cc
+++ b/src/relay/polling_nodes.cc
@@ -5,7 +5,7 @@
 namespace frostline::relay {
 namespace {
 
-/// Nodes poll at least every 0.95 s (wait and answer margin); allows for one lost poll.
+/// A node that has not polled for this long is ignored. Allows for one lost poll.
 constexpr milliseconds k_max_silence{2000};
 /// Bounds the memory for nodes that no longer run.
 constexpr std::size_t k_max_nodes = 2000;
--- a/src/relay/polling_nodes.h
+++ b/src/relay/polling_nodes.h
@@ -1,5 +1,5 @@
-/// @file Nodes that poll this node for changes. When this node stops, one of them can replace it as
-/// the zone's relay. Performs no I/O.
+/// @file Nodes that poll this node for changes. When this node stops, one of them in the same zone
+/// can replace it as relay. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
   std::string zone;
   /// Address for calls from other nodes.
   endpoint address;
-  /// Processor allowance in cores.
+  /// Processor cores that the node may use.
   double processor_share = 0;
   /// Time since its process started.
   milliseconds uptime{0};
--- a/src/relay/record_feed.cc
+++ b/src/relay/record_feed.cc
@@ -11,43 +11,42 @@
 namespace {
 
 constexpr std::string_view k_part = "relay";
-/// Answer margin for a peer that does not serve this node yet. It replies at once; the margin
-/// covers the network between zones and a processor stalled for a tenth of a second.
+/// poll_request::answer_margin for a peer that does not serve this node yet.
 constexpr milliseconds k_first_answer_margin{300};
-/// Answer margin while loading: the first answers hold all records, for all nodes of a zone at
-/// once.
+/// poll_request::answer_margin until all topics are loaded: the first answers contain all records,
+/// and a relay may send them to all nodes of its zone at once.
 constexpr milliseconds k_loading_answer_margin{1000};
 /// Pause after a change, so that following changes are received together.
 constexpr milliseconds k_batch_pause{40};
 /// Pause after k_polls_before_backoff consecutive failed or non-authoritative polls.
 constexpr milliseconds k_poll_backoff{300};
 constexpr std::uint32_t k_polls_before_backoff = 3;
-/// A node that no relay has answered for this long follows the store. Covers one unresponsive relay
-/// (950 ms) and a second one that does not answer either.
+/// A node that no relay has answered for this long, plus jitter, follows the store.
 constexpr milliseconds k_relay_timeout{1300};
 constexpr milliseconds k_relay_timeout_jitter{300};
-/// If relays answer but none is authoritative, the store is probably down; relays become
-/// authoritative half a second after it recovers. A node that the store answers in two probes half
-/// an interval apart follows it instead.
+/// If relays answer but none is authoritative for this long, the store is probably down. The node
+/// then probes the store, and follows it once it has answered probes for half of
+/// k_store_check_interval.
 constexpr milliseconds k_no_authority_timeout{500};
 constexpr milliseconds k_store_check_timeout{300};
 constexpr milliseconds k_store_check_interval{900};
 constexpr milliseconds k_outage_check_interval{2000};
 /// Minimum interval between polls of peers that are ahead.
 constexpr milliseconds k_peer_ahead_interval{200};
-/// How long a starting node waits for the seeds to learn of relays.
+/// How long a starting node that finds no relays waits before it follows the store, if a peer has
+/// answered.
 constexpr milliseconds k_start_timeout{2500};
-/// The same if no seed answers. Longer than the differences between machines that start together.
+/// The same if no peer has answered.
 constexpr milliseconds k_silent_start_timeout{800};
-/// Pauses between watches: changes of servers come in bursts, and each watch costs a call.
+/// Pauses between watches of a topic, so that a burst of changes costs few calls.
 constexpr milliseconds k_configuration_pause{100};
 constexpr milliseconds k_servers_pause{400};
-/// Shorter for an owner, which needs to see soon that an engine has loaded a version.
+/// Shorter for an owner, which must learn quickly that an engine has loaded a weight version.
 constexpr milliseconds k_owner_servers_pause{60};
 constexpr milliseconds k_claim_timeout{600};
-/// Claim jitter of seeds. A zone rarely has more than one.
+/// Replaces claim_options::jitter on seeds. Short, since a zone rarely has more than one seed.
 constexpr milliseconds k_seed_claim_jitter{100};
-/// A node without an authoritative source for this long starts serving with what it has.
+/// A node without an authoritative source for this long after its start trusts its views anyway.
 constexpr milliseconds k_trust_timeout{2000};
 
 }  // namespace
@@ -103,7 +102,7 @@
 claim_options record_feed::make_claim_options() const {
   claim_options claims;
   claims.claim_delay = options_.claim_delay;
-  // While the whole system starts, all other nodes poll the seeds.
+  // While the whole system starts, all other nodes poll the seeds, so these should claim first.
   if (is_seed()) claims.jitter = k_seed_claim_jitter;
   return claims;
 }
@@ -247,7 +246,7 @@
 awaitable<void> record_feed::poll_next_peer() {
   time_point const now = boot_clock::now();
   auto const peer = picker_.pick(relays_, now);
-  // To a node that follows the store only relays can offer newer records.
+  // If this node follows the store, only relays can have newer records.
   bool const useful = peer && (role_ == feed_role::standby || is_relay_address(*peer));
   if (!useful) {
     co_await role_changed_.wait_until(now + with_jitter(k_poll_backoff));
@@ -285,7 +284,7 @@
   request.leaving = leaving_;
   request.topics.assign(k_topics.begin(), k_topics.end());
   auto selected = select_servers();
-  // A peer's answer would hold fewer servers than a node follows at the store, or lack their load.
+  // A peer's answer may contain fewer servers than this node follows at the store, or no load.
   if (source_.follows(topic::SERVERS) || !selected) std::erase(request.topics, topic::SERVERS);
   if (selected) request.servers = std::move(*selected);
   request.accept_servers = [this] { return !source_.follows(topic::SERVERS); };
@@ -420,7 +419,7 @@
 
 awaitable<void> record_feed::claim(kv::revision replaced) {
   claims_.postpone(boot_clock::now());
-  // A probe costs a tenth of a write and shows whether the store serves this node at all.
+  // A probe is cheaper than a write and shows whether this node can reach the store.
   auto const reachable = co_await store_.probe(k_claim_timeout);
   bool const overtaken = relays_.revision_of(options_.zone) != replaced;
   if (!reachable || overtaken || leaving_) co_return;
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -1,10 +1,10 @@
 /// @file Keeps this node's views of the record store's topics current and serves them to peers.
-/// Relays follow the store; all other nodes poll the relay of their zone, so that the load on the
-/// store grows with the number of zones instead of nodes.
+/// Relays follow the store; all other nodes poll the relay of their zone, so that the number of
+/// store requests grows with the number of zones instead of nodes.
 ///
-/// A node that no relay answers follows the store itself until one does. A view never replaces a
-/// record by an older revision, so the source can change at any time, and even records from a
-/// non-authoritative peer are applied.
+/// A node that gets no answer from any relay follows the store itself until a relay answers. A view
+/// never replaces a record by an older revision, so the source can change at any time, and even
+/// records from a non-authoritative peer are applied.
 #pragma once
 
 #include <cstdint>
@@ -45,12 +45,12 @@
   /// Configured addresses of some nodes; any of them may be down.
   std::vector<endpoint> seeds;
   topic_prefixes prefixes;
-  /// Reads the traits by which servers' records are selected; null: all nodes hold all records.
+  /// Reads the traits by which a node selects servers' records. If null, this node selects all.
   trait_reader servers_traits;
-  /// Returns the groups of servers that this node's calls need, or nothing while they are unknown;
-  /// null: all groups.
+  /// Returns the groups of servers' records that this node needs to route its calls, or nothing
+  /// while it cannot tell yet. If null, this node holds all groups.
   std::function<std::optional<std::set<std::string>>()> wanted_servers;
-  /// Processor allowance in cores.
+  /// Processor cores that this node may use.
   double processor_share = 0;
   /// Additional delay before claiming the zone's record, for nodes with a small processor share.
   milliseconds claim_delay{0};
@@ -68,8 +68,8 @@
 
 class record_feed {
  public:
-  /// @param find_owner returns the address of another node that owns a pool. Only owners follow the
-  /// servers' load at the store.
+  /// @param find_owner returns the address of another node that owns a pool, which relays and
+  /// direct nodes poll for servers' records; nothing if there is no known owner.
   record_feed(asio::io_context& context, kv::record_store& store, http::client& transport,
               feed_options options, std::function<std::optional<endpoint>()> find_owner);
 
@@ -118,7 +118,8 @@
   std::optional<milliseconds> watch_age(topic topic_id, time_point now) const {
     return source_.watch_age(topic_id, now);
   }
-  /// Time since all topics were known to be complete, by the oldest topic.
+  /// Longest time, over all topics, since the topic was last known to be complete; at most the time
+  /// since start.
   milliseconds age(time_point now) const;
 
  private:
@@ -137,7 +138,7 @@
   /// Lists the servers from the store again, once, if this node follows them there and a change of
   /// its role or of its wanted groups requires more records than it holds.
   void reload_servers_if_needed();
-  /// Asks the store whether the list of servers exceeds one answer.
+  /// Asks the store whether the list of servers exceeds one page.
   awaitable<void> check_server_list_length();
   /// Returns when a node in the relay or direct role starts to read servers' records from the owner
   /// or the store. With many servers, direct nodes wait for a new relay first: all nodes of a zone
@@ -152,8 +153,8 @@
   /// Records that `peer` serves this node.
   void note_served(endpoint const& peer, bool is_relay);
   /// Returns true if an answer that is not authoritative only for the servers is acceptable for
-  /// now. The relay looks for another source itself; if every node did, the load on the store would
-  /// grow with the number of nodes.
+  /// now. The relay looks for another source itself; if every node did, the number of store
+  /// requests would grow with the number of nodes.
   bool tolerates_server_doubt(poll_result const& result, time_point now);
   /// Keeps the servers' records of a relay or direct node current by polling the owner of a pool
   /// or, failing that, following the store.
@@ -203,7 +204,7 @@
   time_point started_at_ = time_point::max();
   /// When a relay last answered, authoritative or not.
   time_point relay_answered_at_ = time_point::min();
-  /// When this node read the relay records from the store.
+  /// When list_relays last read the relay records from the store.
   time_point relays_listed_at_ = time_point::min();
   /// How long this node waits for a relay before it follows the store; includes jitter.
   milliseconds relay_timeout_{0};
@@ -224,7 +225,7 @@
   std::optional<time_point> servers_in_doubt_since_;
   /// Selection for which the list of servers is being read again.
   std::optional<record_selection> reloading_for_;
-  /// The store's list of servers exceeds one answer; unset until checked.
+  /// The store's list of servers exceeds one page; unset until checked.
   std::optional<bool> server_list_is_long_;
 };
 
--- a/src/relay/record_feed_servers.cc
+++ b/src/relay/record_feed_servers.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view k_part = "relay";
-/// How long an owner that failed is not polled.
+/// How long owners are not polled after one did not answer authoritatively.
 constexpr milliseconds k_owner_backoff{1500};
 constexpr milliseconds k_owner_poll_interval{100};
 
@@ -25,7 +25,7 @@
   for (std::string const& group : *groups) {
     auto const known = current.find(group);
     subsets[group] = known == current.end() ? k_unknown_subset : known->second;
-    // Nodes poll a relay for any subset.
+    // Other nodes may request any subset from a relay.
     if (role_ == feed_role::relay) subsets[group] = k_whole_group;
   }
   return record_selection(options_.node, std::move(subsets));
@@ -73,7 +73,7 @@
       continue;
     }
     reload_servers_if_needed();
-    // The known owner may predate a restart of all nodes, so the store is read in parallel.
+    // After a restart of all nodes the owner record may be outdated: read the store in parallel.
     if (!views_.view(topic::SERVERS).is_loaded()) source_.follow(topic::SERVERS, true);
     if (owner && now >= avoided_until) {
       if (co_await poll_owner(*owner)) continue;
@@ -134,7 +134,7 @@
   bool const authoritative = result.outcome == poll_outcome::authoritative;
   if (authoritative) {
     owner_answered_at_ = boot_clock::now();
-    // An owner sends less than it holds, so a node that has just become one keeps following.
+    // Answers lack the servers' load, so a node that became owner meanwhile follows the store.
     if (!owner_) source_.follow(topic::SERVERS, false);
     auto const selected = select_servers();
     if (!owner_ && role_ == feed_role::relay && selected) {
--- a/src/relay/record_view.h
+++ b/src/relay/record_view.h
@@ -19,6 +19,7 @@
 struct record_delta {
   /// `changes` lists all selected records instead of the changes after the revision.
   bool is_snapshot = false;
+  /// Revision up to which the node is complete after it has applied `changes`.
   kv::revision at = 0;
   std::vector<kv::watch_event> changes;
 };
@@ -70,6 +71,7 @@
   /// A change with the record's traits before and after it.
   struct change {
     kv::watch_event event;
+    /// The view held the record before the change.
     bool was_known = false;
     std::optional<record_traits> before;
     std::optional<record_traits> after;
@@ -95,7 +97,7 @@
   std::map<std::string, record_traits> traits_;
   std::map<std::string, std::size_t> group_sizes_;
   std::deque<change> changes_;
-  /// `changes_` is complete for all later revisions.
+  /// `changes_` contains all changes after this revision.
   kv::revision complete_after_ = 0;
   kv::revision at_ = 0;
 };
--- a/src/relay/relay_registration.h
+++ b/src/relay/relay_registration.h
@@ -21,8 +21,8 @@
   /// @param replaced revision that the record must still have; 0 if it must not exist.
   /// @return true if the store answered, in which case `relays` may have changed.
   awaitable<bool> claim(kv::revision replaced);
-  /// Names another node of the zone as relay, or deletes the record.
-  /// @return true if `relays` has changed.
+  /// Names another node of the zone as relay, or deletes the record if `next` is empty.
+  /// @return true if `next` was written, which also updates `relays`; a deletion does not.
   awaitable<bool> hand_over(std::optional<zone_relay> next);
 
  private:
--- a/src/relay/store_source.cc
+++ b/src/relay/store_source.cc
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr std::string_view k_part = "relay";
-/// Jittered. Short enough that one lost probe does not exceed k_max_silence.
+/// Longest pause after an answered probe.
 constexpr milliseconds k_probe_interval{500};
 constexpr milliseconds k_probe_timeout{300};
 constexpr milliseconds k_retry_backoff{100};
-/// How long a change that peers know may take to reach this node's own watch. Relays receive a
-/// change within milliseconds of each other; a watcher pauses up to 0.4 s between watches.
+/// How long a change that a peer has sent may take to arrive by this node's own watch. Longer than
+/// the pause between two watches.
 constexpr milliseconds k_expected_change_timeout{700};
 
 /// Routing and admission depend on the configuration and the servers, so these use prompt watches.
--- a/src/relay/store_source.h
+++ b/src/relay/store_source.h
@@ -28,9 +28,8 @@
 
 class store_source {
  public:
-  /// After this long without an answer from the store, a node may have missed changes. Allows three
-  /// probes; together with the replacement of a relay (one second) it stays below the two seconds
-  /// in which a change must take effect.
+  /// After this long without an answer to a probe, the store counts as unreachable and this node
+  /// may have missed changes.
   static constexpr milliseconds k_max_silence{900};
 
   store_source(asio::io_context& context, kv::record_store& store, topic_prefixes prefixes,
@@ -50,10 +49,10 @@
   std::optional<milliseconds> watch_age(topic topic_id, time_point now) const;
   /// Send time of the last answered probe; time_point::min() if there was none.
   time_point confirmed_at() const { return confirmed_at_; }
-  /// Returns true if the store has not answered for k_max_silence.
+  /// Returns true if a probe failed and none was answered for k_max_silence.
   bool is_silent() const { return silent_; }
-  /// Records that peers know a change of a topic at this revision. If this node's own watch does
-  /// not deliver it in time, the watch is assumed dead and the topic is read again.
+  /// Records that a peer sent a change of a topic at revision `change`. If this node's own watch
+  /// does not deliver it in time, the watch is assumed dead and the topic is read again.
   void expect(topic topic_id, kv::revision change);
   /// Reads all followed topics again, in case a watch has died without an error.
   void resynchronize(std::string_view cause);
@@ -77,7 +76,7 @@
   source_callbacks callbacks_;
   std::array<std::shared_ptr<kv::prefix_watcher>, k_topics.size()> watchers_;
   std::array<milliseconds, k_topics.size()> pauses_{};
-  /// Newest revision that peers know of each topic and this node's watch still lacks; 0 if none.
+  /// Newest revision passed to `expect` for each topic whose check is pending; 0 if none is.
   std::array<kv::revision, k_topics.size()> expected_{};
   async_condition follow_started_;
   time_point confirmed_at_ = time_point::min();
--- a/src/relay/zone_relays.cc
+++ b/src/relay/zone_relays.cc
@@ -34,7 +34,7 @@
 
 void zone_relays::apply(kv::watch_event const& event) {
   std::string const zone = event.entry.key.substr(k_prefix.size());
-  // The result of this node's own claim may be newer than a peer's records.
+  // This node's own claim may already have stored a newer revision than a peer sends.
   if (event.entry.mod_revision <= revision_of(zone)) return;
   relays_.erase(zone);
   revisions_.erase(zone);
--- a/src/relay/zone_relays.h
+++ b/src/relay/zone_relays.h
@@ -1,7 +1,7 @@
 /// @file The relay of each zone according to the record store: one record per zone, without a
 /// lease. A record may name a node that no longer runs; nodes that notice replace it. Relays only
-/// save calls to the store: correctness does not depend on a zone having exactly one, or any.
-/// Performs no I/O.
+/// save calls to the store: correctness does not depend on a zone having exactly one relay, or one
+/// at all. Performs no I/O.
 #pragma once
 
 #include <map>
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -205,7 +205,7 @@
   cut.store.set_cut(true);
   time_point const begin = boot_clock::now();
   shared.put_now(k_configuration, "2");
-  // The relay itself receives the change from the other zone's relay.
+  // The cut-off relay receives the change by polling zone b's relay.
   CHECK(all_have("2"));
   CHECK(boot_clock::now() - begin < k_bound);
   CHECK(run_until([&] { return relay_of("a") != &cut && relay_of("a") != nullptr; }));
@@ -218,8 +218,8 @@
   shared.put_now(k_configuration, "2");
   time_point const begin = boot_clock::now();
   CHECK(all_have("2"));
-  // Relays lose authority after 0.9 s. Other nodes then wait 0.5 s and probe the store twice, up to
-  // 0.9 s apart and each after a pause of up to 0.3 s: 2.9 s plus the calls.
+  // Takes longer than k_bound: the relays must first lose authority, and the other nodes then
+  // follow the store only after it has answered several probes.
   CHECK(boot_clock::now() - begin < milliseconds(4000));
 }
 
