--- a/src/base/log.h
+++ b/src/base/log.h
@@ -35,7 +35,8 @@
 void log_line(log_level level, std::string_view component, std::string_view message,
               log_fields fields = {});
 
-/// Writes the buffered lines. Has to be called periodically and before the process exits.
+/// Writes buffered lines until standard output would block. Has to be called periodically and
+/// before the process exits.
 void flush_logs();
 
 /// Number of lines dropped since the process started.
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -46,9 +46,11 @@
                                        connection_use use = connection_use::pooled);
 
   /// Sends a request and passes the body of the response to `sink` as it arrives.
-  /// @param idle_timeout longest time between two chunks.
-  /// @return the response once it is complete, or errc. Its body is empty unless the status is not
-  /// 200; in that case `sink` is not called.
+  /// @param idle_timeout longest time to connect, to send the request and receive the headers, and
+  /// between two chunks.
+  /// @return the response once it is complete, or errc, which is exchange_failed if `sink` aborts
+  /// the stream. The response's body is empty unless the status is not 200; in that case `sink` is
+  /// not called.
   awaitable<result<response>> stream(endpoint peer_endpoint, request message,
                                      milliseconds idle_timeout, body_sink sink);
 
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -32,7 +32,7 @@
   awaitable<result<std::uint64_t>> keep_alive(lease_id lease);
   awaitable<result<std::uint64_t>> revoke(lease_id lease);
   /// Passes changes below `prefix` from revision `start` on to `sink`, until the stream ends or
-  /// `sink` returns false.
+  /// `sink` returns false. @return always an error, also if the stream ended normally.
   awaitable<std::error_code> watch(std::string prefix, revision start,
                                    std::function<bool(watch_batch const&)> sink);
 
--- a/src/kv/codec.h
+++ b/src/kv/codec.h
@@ -20,12 +20,12 @@
 /// Decodes one line of a watch stream.
 std::optional<watch_batch> decode_watch(std::string_view json);
 
-/// Reads a 64-bit number, which the JSON mapping of protobuf may write as a string. Returns 0 if
-/// the field is absent or malformed.
+/// Reads an unsigned 64-bit number, which the JSON mapping of protobuf may write as a string.
+/// Returns 0 if the field is absent or malformed.
 std::uint64_t read_number(boost::json::object const& object, std::string_view key);
 /// Decodes a base64 field. Returns an empty string if the field is absent or malformed.
 std::string read_bytes(boost::json::object const& object, std::string_view key);
-/// Encodes an entry as range and watch responses carry it.
+/// Encodes an entry in the form used in range and watch responses.
 boost::json::object write_entry(key_value const& entry);
 
 }  // namespace frostline::kv
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -1,7 +1,6 @@
 /// @file Ownership of a resource on which one node at a time may act: a pool of engines (its batch
 /// jobs and the orders to its engines), or the system's calls to its platform. Ownership is a
-/// record bound to a lease in the record store; the revision at which the record was created is the
-/// owner's epoch.
+/// record bound to a lease in the record store; the revision of that record is the owner's epoch.
 ///
 /// A second record, the orderer's, is not bound to the lease: it names the node that was last
 /// entitled to give orders. An owner writes it before its first order, and acquires the resource
--- a/src/relay/poll_service.h
+++ b/src/relay/poll_service.h
@@ -25,8 +25,9 @@
       : views_(views), is_authoritative_(std::move(is_authoritative)), changed_(context) {}
 
   /// Answers immediately if there are changes, or if this node is not authoritative and the call
-  /// does not prefer waiting; otherwise waits for a change. Also waits while neither node has
-  /// loaded a topic, since a starting seed is polled by all others.
+  /// does not prefer waiting; otherwise waits for a change, at most as long as the call allows and
+  /// k_max_wait. Also waits while neither node has loaded a topic, since a starting seed is polled
+  /// by all others.
   awaitable<rpc::PollReplyT> answer(rpc::PollCallT call);
   /// Called with the address of a polling node that is ahead of this node on a topic for which this
   /// node is not authoritative.
--- a/src/relay/record_selection.h
+++ b/src/relay/record_selection.h
@@ -47,7 +47,8 @@
   bool includes(std::optional<record_traits> const& traits) const {
     return !traits || includes(*traits);
   }
-  /// Returns true if this selection includes every record that `wanted` includes.
+  /// Returns true only if this selection includes every record that `wanted` includes. Returns
+  /// false for subsets of one group with different divisors, even if one contains the other.
   bool covers(record_selection const& wanted) const;
   bool operator==(record_selection const&) const = default;
 
--- a/src/rpc/problem.h
+++ b/src/rpc/problem.h
@@ -71,7 +71,8 @@
 /// rounded up to whole seconds.
 http::response to_response(problem const& error);
 
-/// Parses the problem in a response whose status is not 200.
+/// Parses the problem in a response whose status is not 200. If the body is not a JSON object, the
+/// request may have run.
 problem from_response(http::response const& answer);
 
 }  // namespace frostline::rpc
--- a/tests/unit/ownership/owner_lease_test.cc
+++ b/tests/unit/ownership/owner_lease_test.cc
@@ -154,7 +154,7 @@
   store.expire_leases();
   run_until([&] { return lost == 1; });
   run_until([&] { return gained == 2; });
-  // The node was never orderer, so it must wait for orders of a previous owner.
+  // This node is not the last orderer, so it must wait for the order gap.
   CHECK(lease.orders_from() > boot_clock::now() + seconds(2));
 }
 
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -356,8 +356,8 @@
     return std::all_of(nodes.begin(), nodes.end(),
                        [](auto const& node) { return node->server_value == "draining"; });
   }));
-  // Until they know an owner, relays watch the servers at the store. Such a watch ends with the
-  // first change.
+  // A relay that followed the servers at the store until it polled the owner may still have a watch
+  // pending there, which returns with the next change.
   CHECK(run_until([&] {
     auto const before = relay_of("a")->store.watches();
     shared.put_now("servers/1", "draining again");
@@ -381,7 +381,7 @@
   CHECK(run_until([&] { return relay_of("a") == &first && relay_of("b") == &second; }));
   CHECK(run_until([&] { return count(feed_role::relay) == 2; }));
   CHECK(all_have("1"));
-  // The change arrives from the other relay while the node's own watch waits for ten seconds.
+  // The first node receives the change from the other relay; its own watch gets no answer.
   first.store.set_watches_silent(true);
   std::uint64_t const before = first.store.lists();
   time_point const begin = boot_clock::now();
@@ -398,14 +398,14 @@
   only.store.set_watches_silent(true);
   std::uint64_t const before = only.store.lists();
   shared.put_now(k_configuration, "2");
-  // The configuration's watch and those of the other four topics, which may be dead as well.
+  // Lists all five topics again, since the watches of the other four may be dead as well.
   CHECK(run_until([&] { return only.store.lists() >= before + 5; }));
   only.store.set_watches_silent(false);
   CHECK(all_have("2"));
 }
 
 TEST(record_feed_test, node_that_becomes_owner_during_a_poll_for_a_subset_holds_all_servers) {
-  // The answer in flight holds only the servers that calls need.
+  // The reply to the poll in progress contains only servers of the wanted group.
   for (int id = 2; id < 300; ++id) shared.put_now("servers/" + std::to_string(id), "calls");
   shared.put_now("servers/engine", "engines");
   wanted_groups = {"calls"};
@@ -485,12 +485,12 @@
   }
   time_point const begin = boot_clock::now();
   CHECK(all_have("1"));
-  // A poll that waits takes 0.7 s.
+  // A poll that waits for a change takes longer.
   CHECK(boot_clock::now() - begin < milliseconds(500));
 }
 
 TEST(record_feed_test, node_that_becomes_a_relay_reads_whole_groups) {
-  // There is no owner from which the relay could get the other records.
+  // Without an owner to poll, the relay must read the other records from the store.
   for (int id = 2; id < 300; ++id) shared.put_now("servers/" + std::to_string(id), "calls");
   wanted_groups = {"calls"};
   test_node& seed = add("a");
--- a/tests/unit/relay/record_view_test.cc
+++ b/tests/unit/relay/record_view_test.cc
@@ -252,7 +252,7 @@
 }
 
 TEST(record_view_selection_test, view_ignores_records_outside_its_selection) {
-  // A relay that follows the store receives the records of all servers.
+  // The store sends a relay the records of all servers, also those outside its selection.
   record_selection const calls("relay", {{"calls", k_whole_group}});
   view.take_snapshot(
       snapshot(10, {change("call-1", 5, "calls 1"), change("engine-1", 6, "engines 1")}), calls);
