--- a/src/membership/table.h
+++ b/src/membership/table.h
@@ -74,7 +74,8 @@
 
   /// Sets values that every message of this node carries.
   /// @param config_revision revision of this node's configuration.
-  /// @param kv_age time since the key-value service last answered, as far as this node knows.
+  /// @param kv_age time since the key-value service last answered this node or, according to
+  /// gossip, another member.
   void set_local_facts(std::uint64_t config_revision, milliseconds kv_age);
 
   /// Disseminates to all nodes that a back end is leaving. Has no effect if this or a higher
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -148,9 +148,9 @@
   std::optional<time_point> seen_by_refused_claim_at_;
   /// Revision of the owner record as last delivered by the watcher; 0 if there was none.
   kv::revision followed_revision_ = 0;
-  /// Revision of the last known owner record.
+  /// Revision of the last valid owner record received; 0 if there was none.
   kv::revision record_revision_ = 0;
-  /// Last known owner.
+  /// Node that last owned the resource, as far as this node has learned; empty if none.
   std::string last_owner_;
   /// Last orderer, and the revision of its record; 0 if there is none.
   std::string last_orderer_;
--- a/src/ownership/planner.cc
+++ b/src/ownership/planner.cc
@@ -18,7 +18,7 @@
   bool const self_leaves = members.self().state != membership::member_state::ALIVE;
   if (!self_leaves) candidates.push_back({self.node, self.zone});
   for (auto const& [id, peer] : members.members()) {
-    // A member known only from the machine list may not be running yet.
+    // A member in the machine list that gossip has not mentioned may not be running yet.
     bool const heard = peer.last_heard != time_point::min() || peer.update.incarnation != 0;
     if (peer.is_alive() && heard) candidates.push_back({id, peer.update.zone});
   }
--- a/tests/unit/membership/membership_table_test.cc
+++ b/tests/unit/membership/membership_table_test.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Nodes "0", "1", … whose messages arrive immediately unless `lost` returns true.
+/// Nodes "0", "1", … whose messages arrive immediately unless `lost` returns true. Nodes for which
+/// `stopped` returns true neither run their timers nor receive messages.
 class network {
  public:
   explicit network(int nodes) {
--- a/tests/unit/relay/record_feed_test.cc
+++ b/tests/unit/relay/record_feed_test.cc
@@ -1,5 +1,5 @@
-/// @file Several nodes keep their views current through relays while relays, the store or the
-/// connections to it fail.
+/// @file Several nodes keep their views current through relays while relays, the store or
+/// connections to the store fail.
 
 #include "relay/record_feed.h"
 
