--- a/src/http/client.h
+++ b/src/http/client.h
@@ -21,7 +21,8 @@
 
 /// Selects the connection for a request.
 enum class connection_use {
-  /// A pooled connection may be used; the peer may close it before it reads the request.
+  /// A pooled connection may be used; the peer may close that connection before it reads the
+  /// request.
   pooled,
   /// A new connection is used for this request only, so a failed connect proves that the request
   /// was not run.
@@ -45,9 +46,11 @@
                                        connection_use use = connection_use::pooled);
 
   /// Sends a request and passes the body of the response to `sink` as it arrives.
-  /// @param idle_timeout longest time between two chunks.
-  /// @return the response once it is complete, or errc. Its body is empty unless the status is not
-  /// 200; in that case `sink` is not called.
+  /// @param idle_timeout longest time to connect, to send the request and receive the headers, and
+  /// between two chunks.
+  /// @return the response once it is complete, or errc, which is exchange_failed if `sink` aborts
+  /// the stream. The response's body is empty unless the status is not 200; in that case `sink` is
+  /// not called.
   awaitable<result<response>> stream(endpoint peer_endpoint, request message,
                                      milliseconds idle_timeout, body_sink sink);
 
--- a/tests/unit/ownership/owner_lease_test.cc
+++ b/tests/unit/ownership/owner_lease_test.cc
@@ -44,7 +44,7 @@
     store.put_now(owner_lease::orderer_key_of("pool"), rpc::encode(record));
   }
 
-  /// Delivers the store's records, like the follower of the owners.
+  /// Delivers the store's records, like the watcher of the owners' records.
   void deliver(owner_lease & target) {
     bool owned = false;
     for (kv::key_value const& record : store.list_now(owner_lease::key_of("pool"))) {
@@ -90,7 +90,7 @@
 }
 
 TEST(owner_lease_test, pool_is_acquired_after_an_unconfirmed_owner_is_forgotten) {
-  // The follower is behind: it delivers that there is no owner, and never sees the present record.
+  // The watcher is behind: it delivers that there is no owner, and never sees the present record.
   put_owner("other", "t");
   lease.start();
   lease.note_record(nullptr);
@@ -154,7 +154,7 @@
   store.expire_leases();
   run_until([&] { return lost == 1; });
   run_until([&] { return gained == 2; });
-  // The node was never orderer, so it must wait for orders of a previous owner.
+  // This node is not the last orderer, so it must wait for the order gap.
   CHECK(lease.orders_from() > boot_clock::now() + seconds(2));
 }
 
