--- a/src/calls/access.cc
+++ b/src/calls/access.cc
@@ -6,8 +6,8 @@
   access result;
   result.key_check = table.tenants().check(
       http::to_string_view(message[http::field::authorization]), result.matched_tenant);
-  // With several headers it is undefined which one a downstream proxy or server reads, so none of
-  // them proves a tenant.
+  // With several Authorization headers it is undefined which one a downstream proxy or server
+  // reads, so none of them authenticates a tenant.
   bool const has_several_headers = message.count(http::field::authorization) > 1;
   if (has_several_headers && result.key_check == credential_status::valid) {
     result.key_check = credential_status::unknown;
--- a/src/calls/call_failure.cc
+++ b/src/calls/call_failure.cc
@@ -6,10 +6,11 @@
 namespace frostline::calls {
 namespace {
 
-/// Seconds; full servers usually have a free slot by then.
+/// Retry-After in seconds of all 503 responses except those for quarantined requests. A full server
+/// usually has a free slot by then.
 constexpr std::string_view k_full_server_retry_after = "0.3";
-/// Upper bound for quarantined requests: their later trials are further apart, and an earlier retry
-/// is refused again.
+/// Upper bound of Retry-After for quarantined requests, also sent if no trial is scheduled. The
+/// next trial may be due later than this.
 constexpr seconds k_max_retry_after{60};
 
 std::string seconds_until(std::optional<milliseconds> retry_delay) {
--- a/src/calls/call_failure.h
+++ b/src/calls/call_failure.h
@@ -12,29 +12,32 @@
 /// Why a request got no answer from a server.
 enum class call_failure {
   none,
+  /// This node has no configuration or no server directory yet.
   no_configuration,
   no_route,
+  /// No server was ready, or none could be connected to.
   no_server,
-  /// Every server that was asked refused the request, so it has not run.
+  /// At least one server refused the request, and none can have run it.
   servers_full,
   /// The deadline passed before any server could have run the request.
   deadline_not_run,
-  /// The deadline passed while a server may have been running the request.
+  /// The deadline passed, and a server may have run the request.
   deadline_unknown,
   /// A server failed and may have run the request.
   outcome_unknown,
+  /// The client disconnected.
   caller_left,
-  /// Quarantined as a poison request and sent to no server; this call has not run it.
+  /// The quarantine forbids sending the request, since it may crash servers; it has not run.
   quarantined,
 };
 
 std::string_view to_string(call_failure reason);
 
-/// Makes the response for a request without a server's answer. It has a Retry-After header if the
-/// request has not run.
-/// @param retry_delay for a quarantined request: time until its next trial; without it the longest
-/// delay is sent. The first trial comes soon, so that a request that merely ran during a crash is
-/// served again early.
+/// Makes the response for a request without a server's answer: status 404 for no_route, 502 for
+/// outcome_unknown, 504 for deadline_unknown, 503 for all other reasons. Only 503 responses have a
+/// Retry-After header.
+/// @param retry_delay time until the next trial of a quarantined request; nullopt: the longest
+/// delay is sent. Ignored for other reasons.
 http::response failure_response(call_failure reason,
                                 std::optional<milliseconds> retry_delay = std::nullopt);
 
--- a/src/calls/caller.h
+++ b/src/calls/caller.h
@@ -17,6 +17,7 @@
   virtual awaitable<void> answer(http::response whole) = 0;
   /// Sends the head of a streamed answer. @return false if the client has disconnected.
   virtual awaitable<bool> begin(http::response head) = 0;
+  /// Sends a piece of the body of a streamed answer. @return false if the client has disconnected.
   virtual awaitable<bool> send(std::string piece) = 0;
   /// Completes a streamed answer. Without it the client sees a truncated answer.
   virtual awaitable<void> end() = 0;
--- a/src/calls/event_stream.cc
+++ b/src/calls/event_stream.cc
@@ -21,7 +21,8 @@
   return value;
 }
 
-/// Returns the length of the line ends that terminate an event at `position`, or 0.
+/// Returns the length of the two line ends that terminate an event, if they start at `position`,
+/// else 0.
 std::size_t blank_line_at(std::string_view text, std::size_t position) {
   if (text.substr(position).starts_with("\n\n")) return 2;
   if (text.substr(position).starts_with("\r\n\r\n")) return 4;
@@ -64,7 +65,7 @@
 }
 
 std::vector<stream_event> event_splitter::feed(std::string_view piece) {
-  // The terminator may have begun in an earlier piece.
+  // An earlier piece may have ended within the blank line that terminates an event.
   std::size_t search_from = pending_.size() < 4 ? 0 : pending_.size() - 4;
   pending_.append(piece);
   std::vector<stream_event> events;
--- a/src/calls/event_stream.h
+++ b/src/calls/event_stream.h
@@ -10,10 +10,11 @@
 namespace frostline::calls {
 
 struct stream_event {
+  /// Absent if the event has no id, or one that is not a decimal number.
   std::optional<std::uint64_t> id;
   /// Data lines, joined by line feeds.
   std::string data;
-  /// Weight version from this event on, if the event names one.
+  /// Weight version of this event and those after it; absent if the event names none.
   std::optional<std::uint64_t> version;
   /// Unmodified bytes of the event, including the blank line that ends it.
   std::string raw;
@@ -21,11 +22,11 @@
 
 class event_splitter {
  public:
-  /// @param version_field name of the field with the weight version, in any case; events carry it
-  /// in lower case.
+  /// @param version_field name of the event field with the weight version, in upper or lower case.
+  /// Events must have it in lower case.
   explicit event_splitter(std::string version_field);
 
-  /// Appends bytes. @return the events that they complete.
+  /// Appends the next bytes of the stream. @return the events that are complete with them.
   std::vector<stream_event> feed(std::string_view piece);
   /// Returns true if no partial event is buffered.
   bool is_between_events() const { return pending_.empty(); }
--- a/src/calls/exchange.cc
+++ b/src/calls/exchange.cc
@@ -14,14 +14,16 @@
 
 constexpr std::size_t k_max_pooled_per_server = 24;
 constexpr milliseconds k_connect_timeout{300};
-/// Servers keep an idle connection open for at least this long.
+/// Servers keep an idle connection open for at least this long, so one that was idle for less is
+/// `recently_used`.
 constexpr milliseconds k_recent_use{400};
+/// Subtracted from the idle timeout that a server announces, so that this side closes first.
 constexpr milliseconds k_keep_margin{400};
 /// Time for the acknowledgement of a request on a pooled connection, enough for two retransmissions
-/// on links of a few milliseconds. Without it, a call with a single attempt would wait for its
-/// whole deadline on a dead connection.
+/// on links with a round trip of a few milliseconds. Without this timeout, a call with a single
+/// attempt would wait on a dead connection until its deadline.
 constexpr milliseconds k_acknowledgement_timeout{400};
-/// While a body of at least this size is sent, an early answer is watched for.
+/// Minimum size in bytes of a request body during whose sending an early answer is detected.
 constexpr std::size_t k_large_body = 16 * 1024;
 
 /// Parses the seconds of "timeout=N" in a Keep-Alive header.
--- a/src/calls/exchange.h
+++ b/src/calls/exchange.h
@@ -1,7 +1,7 @@
 /// @file One HTTP request to one server, and the pool of connections to servers.
 ///
-/// The answer is read piece by piece. An exchange tracks how far its request got, which decides
-/// whether it may be sent again.
+/// The answer is read piece by piece. The failure of an exchange tells whether the server may
+/// have run the request, and so whether the request may be sent again.
 #pragma once
 
 #include <cstddef>
@@ -22,14 +22,14 @@
 /// Why an exchange gave no complete answer.
 enum class exchange_failure {
   none,
-  /// No connection: no byte was sent, the request has not run.
+  /// No connection could be opened: no byte was sent, and the request has not run.
   not_connected,
   /// The connection ended after bytes were sent: the request may have run.
   broken,
-  /// Like `broken`, but on a pooled connection and before any byte of an answer: the server may
-  /// have closed the connection before it read the request.
+  /// A pooled connection ended, or sent data was not acknowledged in time, before any byte of an
+  /// answer: the server may have closed the connection before it read the request.
   stale_connection,
-  /// The deadline passed; the request may have run.
+  /// The deadline passed or sent data was not acknowledged in time; the request may have run.
   timed_out,
   /// The answer's request id is not that of the request.
   foreign_answer,
@@ -65,15 +65,16 @@
     http::beast::flat_buffer buffer;
     time_point opened_at{};
     time_point idle_since{};
-    /// How long it may be idle. Servers may announce this; if they close it earlier, `take`
-    /// notices.
+    /// Longest idle time in the pool. Replaced if the server announces a timeout in a Keep-Alive
+    /// header.
     milliseconds idle_timeout{20'000};
     bool reused = false;
-    /// Set while the peer must acknowledge sent data in time, see `exchange::open`.
+    /// True while a timeout for the acknowledgement of sent data is set on the socket.
     bool has_acknowledgement_timeout = false;
   };
 
-  /// @return null if no pooled connection fits.
+  /// Removes and returns an idle connection to a server incarnation. @return null if no pooled
+  /// connection satisfies `choice`.
   std::unique_ptr<connection> take(std::string const& server, connection_choice choice);
   void give_back(std::string const& server, std::unique_ptr<connection> idle);
   /// Adds a connection that was opened without a request.
@@ -88,11 +89,11 @@
   void forget(std::string const& server) { idle_.erase(server); }
   /// Closes expired connections, and those of servers that have left the directory.
   void clean(directory::server_directory const& servers);
-  /// Registers an exchange in flight for `expire_overdue`.
+  /// Registers an exchange in flight, so that `expire_overdue` checks its deadline.
   void add(exchange& active) { in_flight_.insert(&active); }
   void remove(exchange& active) { in_flight_.erase(&active); }
-  /// Fails exchanges whose deadlines have passed; to be called a few times a second. Their own
-  /// timers don't advance while the machine is suspended.
+  /// Fails exchanges in flight whose deadlines have passed; to be called a few times a second. The
+  /// timers of the exchanges don't advance while the machine is suspended.
   void expire_overdue(time_point now);
   asio::io_context& context() { return context_; }
   std::uint64_t opened() const { return opened_; }
@@ -115,7 +116,8 @@
   /// Connects if necessary and sends the request. @param message complete with all headers.
   awaitable<exchange_failure> send(http::request const& message, connection_choice choice,
                                    time_point deadline);
-  /// Reads the status and headers of the answer, and checks that its request id matches.
+  /// Reads the status and headers of the answer. If both the request and the answer have a request
+  /// id, checks that they are equal.
   awaitable<exchange_failure> read_head(time_point deadline);
   http::response const& head() const { return parser_->get(); }
   /// Reads more of the body into `piece`, which is empty at the end of the body.
--- a/src/calls/forwarder.cc
+++ b/src/calls/forwarder.cc
@@ -9,13 +9,14 @@
 namespace frostline::calls {
 namespace {
 
-/// An answer within target_latency divided by this is fast, and its server is preferred. A slower
-/// one leaves no time for a second attempt.
+/// An answer within the route's target_latency divided by this counts as fast, and its server is
+/// preferred for later requests. An attempt that takes longer leaves no time for a second one
+/// within the target.
 constexpr int k_fast_answer_divisor = 2;
 constexpr std::string_view k_part = "calls";
 /// Time reserved to deliver the answer before the client's deadline.
 constexpr milliseconds k_answer_margin{15};
-/// Shortest time for an attempt that is not the last one.
+/// Minimum time for an attempt that is not the last one, unless the deadline is earlier.
 constexpr milliseconds k_min_attempt_timeout{250};
 constexpr std::size_t k_max_answer_bytes = 64 * 1024 * 1024;
 
@@ -56,8 +57,8 @@
 awaitable<void> forwarder::record_suspicion(request_state& state) {
   bool const watching = dependencies_.quarantine.has_suspects() || state.broken_attempts > 1;
   if (!watching || state.is_trial) co_return;
-  // The evidence of this attempt's crash may still be under examination, so the second broken
-  // attempt is recorded without a check.
+  // After a second broken attempt, the probe of its server may be pending, and must_be_recorded
+  // still false. record_before_next_run waits for the probe and checks again.
   bool const broke_twice = state.broken_attempts > 1;
   if (!broke_twice && !dependencies_.quarantine.must_be_recorded(fingerprint_of(state))) co_return;
   co_await dependencies_.quarantine.record_before_next_run(fingerprint_of(state));
@@ -204,7 +205,8 @@
                           bool may_have_begun, bool is_event_stream) {
   bool const counts = may_have_begun && !state.usage_counted;
   state.usage_counted = state.usage_counted || may_have_begun;
-  // A streaming request starts with its first event, any other one when it is sent.
+  // The run of an event stream begins with the head of its answer, any other run when the request
+  // is sent.
   time_point const begun = is_event_stream ? boot_clock::now() : state.attempt_started_at;
   dependencies_.runs.end_attempt(attempt, state.tenant, counts, begun);
 }
@@ -237,8 +239,8 @@
         dependencies_.selector.pick(ready, state.tried, boot_clock::now());
     bool const all_failed =
         selected == nullptr && state.may_have_run && state.matched_route->is_repeatable();
-    // Every server has failed: try each of them again, but not those that refuse connections. The
-    // caller can use the remaining time better than a wait for those.
+    // Every ready server has been tried. A repeatable request that may have run is sent to them
+    // again, except to those that could not be connected to in such a further attempt.
     if (all_failed)
       selected = dependencies_.selector.pick(ready, state.unreachable, boot_clock::now());
     if (selected == nullptr) break;
--- a/src/calls/forwarder.h
+++ b/src/calls/forwarder.h
@@ -28,6 +28,7 @@
   std::uint32_t attempts = 0;
   /// Answers with a 5xx status over all attempts, including the last one.
   std::uint32_t failed_answers = 0;
+  /// Id of the server of the last attempt; empty if there was none.
   std::string server;
 };
 
@@ -51,7 +52,7 @@
   /// Counts the requests of tenants.
   usage::run_counter& runs;
   quarantine::service& quarantine;
-  /// Age of this node's records, for log lines.
+  /// Age of this node's copy of the store's records, for log lines.
   std::function<milliseconds()> records_age;
 };
 
@@ -86,7 +87,7 @@
     caller* client = nullptr;
     std::string service;
     std::set<std::string> tried;
-    /// Servers that refused a connection after all servers had been tried.
+    /// Servers that could not be connected to after all servers had been tried.
     std::set<std::string> unreachable;
     std::uint32_t attempts = 0;
     time_point attempt_started_at{};
@@ -105,7 +106,7 @@
     /// A pooled connection was silent. Further attempts use new connections, since each pooled one
     /// may be dead and the last attempt would wait for the whole deadline.
     bool saw_silent_connection = false;
-    /// No server may get the request, since it probably crashes its servers.
+    /// The quarantine forbids sending the request now, since it may crash servers.
     bool is_quarantined = false;
     /// Time until the next trial of a quarantined request, if known.
     std::optional<milliseconds> retry_delay;
@@ -131,7 +132,8 @@
   /// may yet crash the server.
   void note_abandoned_run(request_state& state, exchange const& upstream);
   quarantine::fingerprint const& fingerprint_of(request_state& state) const;
-  /// Ends an attempt in the tenant's usage count.
+  /// Ends an attempt in `runs`. Counts the request for its tenant, at most once, if a server may
+  /// have begun to run it.
   void count_run(request_state& state, usage::run_counter::attempt_id attempt, bool may_have_begun,
                  bool is_event_stream);
   void note_whole_answer(request_state& state, exchange const& upstream);
--- a/src/calls/route_table.h
+++ b/src/calls/route_table.h
@@ -33,6 +33,7 @@
 
 struct route {
   std::string name;
+  /// Host of the requests that the route matches.
   std::string host;
   /// Begins and ends with a slash.
   std::string path_prefix;
@@ -72,7 +73,7 @@
   std::shared_ptr<engine_pool const> engines;
 };
 
-/// Limits on the size and the pace of a client's requests.
+/// Limits on the size of a client's requests, and on how long the client may take to send them.
 struct client_limits {
   std::size_t header_bytes = 16 * 1024;
   std::size_t body_bytes = 32 * 1024 * 1024;
@@ -98,7 +99,7 @@
 /// Immutable; a request keeps the table that it began with.
 class route_table {
  public:
-  /// @param in_force_since reported in log lines.
+  /// @param in_force_since when the configuration came into force on this node; for log lines.
   explicit route_table(configuration all, time_point in_force_since = time_point::min());
 
   /// Returns the route of `host` with the longest prefix of `path`, or null.
--- a/src/calls/server_selector.cc
+++ b/src/calls/server_selector.cc
@@ -9,8 +9,8 @@
 constexpr milliseconds k_initial_backoff{400};
 constexpr std::uint32_t k_max_backoff_doublings = 3;
 constexpr milliseconds k_full_server_backoff{60};
-/// How long after a fast answer the connection is assumed to be open; the default idle timeout of
-/// pooled connections.
+/// How long after a fast answer the connection to the server is assumed to be open. Equals the
+/// default idle timeout of pooled connections.
 constexpr milliseconds k_warm_connection_time{20'000};
 
 }  // namespace
--- a/src/calls/server_selector.h
+++ b/src/calls/server_selector.h
@@ -1,4 +1,4 @@
-/// @file Selects a server of a service for one attempt. No I/O.
+/// @file Selects a server of a service for one attempt of a request. No I/O; reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,32 @@
 
 namespace frostline::calls {
 
-/// Prefers the fewest outstanding requests per slot; then the node's own zone; then the server with
-/// the latest fast answer, since its connection is open; then a random one. A server that failed
-/// without an answer is avoided for a backoff time unless there is no other.
+/// Ranks servers by, in this order: not in backoff; the fewest isolated requests; the fewest
+/// outstanding requests per slot; in the node's own zone; the latest fast answer, since the
+/// connection to that server is probably still open; a random number. A server is in backoff after
+/// a failed attempt and, for a shorter time, after it refused a request because it was full.
 ///
-/// Isolates requests whose connections broke from each other and from other requests, as far as
-/// there are enough servers: if one of them crashes its servers, few other requests are lost with
-/// it, and those that are answered are cleared.
+/// A server that runs a suspect request, one that may crash it, is marked by `isolate`, and is
+/// selected for other requests only if all other candidates are marked or in backoff. If that
+/// server crashes, few other requests are lost.
 class server_selector {
  public:
-  /// Candidates that are compared before the first check for a free slot.
+  /// Number of candidates that `pick` compares between two checks for a free slot.
   static constexpr std::size_t k_candidates_per_round = 128;
 
   server_selector(std::string own_zone, std::uint64_t seed)
       : own_zone_(std::move(own_zone)), start_fraction_(fraction_of_range(seed)), random_(seed) {}
 
-  /// Compares a bounded number of candidates, starting from a fixed point of the list, as long as
-  /// one of them has a free slot.
-  /// @param candidates in a stable order.
+  /// Returns the best-ranked candidate. Compares candidates in rounds of k_candidates_per_round,
+  /// starting at a position that is fixed for this node, and stops after the first round in which
+  /// the best one so far has a free slot.
+  /// @param candidates in an order that stays the same between calls.
   /// @param tried server incarnations that this request was already sent to.
   /// @return null if no candidate is left.
   directory::server const* pick(std::vector<directory::server const*> const& candidates,
                                 std::set<std::string> const& tried, time_point now);
-  /// Marks the server as running a request whose connection broke at another server.
-  /// @return a guard to hold until the exchange ends; it must not outlive the selector.
+  /// Marks a server as running a suspect request, one that may crash it.
+  /// @return a guard whose destruction removes the mark; it must not outlive the selector.
   [[nodiscard]] std::shared_ptr<void> isolate(std::string const& server);
 
   void note_sent(std::string const& server) { ++states_[server].outstanding; }
@@ -47,22 +49,23 @@
   void note_fast_answer(std::string const& server, time_point now);
   /// Notes an attempt without a usable answer.
   void note_failure(std::string const& server, time_point now);
-  /// Notes that the sender abandoned the request, which says nothing about the server.
+  /// Notes that the sender abandoned an outstanding request. Leaves the server's backoff unchanged.
   void note_abandoned(std::string const& server);
   /// Notes that the server refused a request without running it, since it is full.
   void note_full(std::string const& server, time_point now);
-  /// Clears the failures of the server's previous incarnation.
+  /// Clears the failures, backoff and last fast answer of the server's previous incarnation.
   void note_restart(std::string const& server);
-  /// Removes the state of servers that have left the directory.
+  /// Removes the state of servers that have left the directory, once they have no outstanding
+  /// request and no mark of `isolate`.
   void clean(directory::server_directory const& servers);
   std::uint32_t outstanding(std::string const& server) const;
-  /// Number of comparisons so far.
+  /// Number of candidates that were ranked since construction.
   std::uint64_t compared_count() const { return compared_count_; }
 
  private:
   struct server_state {
     std::uint32_t outstanding = 0;
-    /// Outstanding requests whose connections broke at other servers.
+    /// Number of marks set by `isolate` that are still held.
     std::uint32_t isolated = 0;
     std::uint32_t consecutive_failures = 0;
     time_point backoff_until = time_point::min();
--- a/src/calls/tenants.h
+++ b/src/calls/tenants.h
@@ -11,7 +11,7 @@
 
 struct tenant {
   std::string name;
-  /// Takes precedence over the priority of a route; 0 is the most urgent.
+  /// Compared before the priority of a route; 0 is the most urgent.
   std::uint32_t priority = 0;
   /// Any of these keys identifies the tenant.
   std::vector<std::string> api_keys;
@@ -22,7 +22,7 @@
 /// @return an error message; empty if the tenants are valid.
 std::string validate_tenants(std::vector<tenant> const& tenants);
 
-/// Result of a check of a request's credentials.
+/// Result of the check of an Authorization header.
 enum class credential_status {
   /// No tenants are configured, so no key is needed.
   not_needed,
@@ -36,7 +36,8 @@
 
 std::string_view to_string(credential_status key_check);
 
-/// Returns the key of an Authorization header (RFC 6750, section 2.1), or an empty view.
+/// Returns the key of an Authorization header (RFC 6750, section 2.1); empty if there is none or
+/// the scheme is not Bearer.
 std::string_view bearer_key(std::string_view authorization);
 
 /// Finds tenants by key or name.
--- a/src/gateway/client_calls.cc
+++ b/src/gateway/client_calls.cc
@@ -10,7 +10,7 @@
 
 constexpr std::string_view k_part = "gateway";
 constexpr milliseconds k_default_deadline{10'000};
-/// Added to the wait that a list call asks for.
+/// Added to the wait that a list call asks for, to get the timeout of the call.
 constexpr milliseconds k_list_margin{1200};
 constexpr milliseconds k_end_deadline{3000};
 /// Share of the caller's waiting time that is reserved to deliver the answer, and its bounds. An
@@ -142,7 +142,7 @@
   }
   request->call.tenant = tenant;
   request->call.record->tenant = tenant;
-  // Only the body of a submission is used; frees the rest of the message.
+  // Frees the message: the parsed job is all that is needed from here on.
   message = http::request();
   rpc::JobCallT submitted_call;
   submitted_call.action = rpc::JobAction::SUBMIT;
--- a/src/gateway/client_calls.h
+++ b/src/gateway/client_calls.h
@@ -1,4 +1,4 @@
-/// @file Checks access of client requests and dispatches them: submissions of jobs, calls about
+/// @file Authorizes client requests and dispatches them: job submissions, calls about existing
 /// jobs, and ordinary calls.
 #pragma once
 
@@ -23,7 +23,7 @@
   calls::forwarder& forwarder;
   jobs::job_client& jobs;
   metrics& request_metrics;
-  /// Age of this node's records, for log lines.
+  /// Age of this node's copy of the store's records, for log lines.
   std::function<milliseconds()> records_age;
 };
 
@@ -38,8 +38,8 @@
   awaitable<void> handle_job(job_request request, calls::caller& client);
   awaitable<void> handle_submission(http::request message, calls::route const& matched_route,
                                     std::string const& tenant, calls::caller& client);
-  /// Checks access to a call about a job, and sets the caller's tenant in it. @return false if the
-  /// call was refused and answered.
+  /// Authorizes a call about a job, and sets the caller's tenant in `request`. @return false if the
+  /// call was refused; the client then has its answer.
   awaitable<bool> admit_job_call(calls::route_table const* table, http::request const& message,
                                  job_request& request, calls::caller& client);
   awaitable<void> refuse_access(calls::credential_status key_check, calls::route_table const& table,
