--- a/src/delivery/committer.h
+++ b/src/delivery/committer.h
@@ -12,7 +12,7 @@
 namespace frostline::delivery {
 
 enum class commit_result {
-  /// The record is stored.
+  /// The record is stored; from `confirm`: all conditions hold.
   committed,
   /// Another owner holds the shard, so this one must stop.
   fenced,
@@ -22,7 +22,7 @@
   record_changed,
   /// It is unknown whether the record was stored.
   in_doubt,
-  /// The store is unavailable; nothing was changed.
+  /// The store returned an error; nothing was changed.
   unavailable,
 };
 
@@ -38,9 +38,9 @@
 
 struct commit_answer {
   commit_result result = commit_result::unavailable;
-  /// Revision of the commit.
+  /// Revision of the stored record, or of the store after `confirm`; 0 if unknown.
   kv::revision revision = 0;
-  /// With version_changed: the current entry of the version key.
+  /// The current entry of the version key, if the version changed and the key exists.
   std::optional<kv::key_value> version_entry;
 };
 
@@ -49,7 +49,7 @@
   kv::revision revision = 0;
 };
 
-/// Determines the failed condition from the current entries in the answer. Pure.
+/// Determines the failed condition from the current entries in the answer. No I/O.
 commit_answer explain_failure(commit_conditions const& conditions,
                               kv::transaction_answer const& answer);
 
--- a/src/delivery/delivered_set.h
+++ b/src/delivery/delivered_set.h
@@ -1,5 +1,5 @@
 /// @file The delivered samples of a shard: a watermark and a bitmap for each partly delivered group
-/// above it. Pure; this is what the delivery record stores.
+/// above it, as in the delivery record. No I/O.
 #pragma once
 
 #include <compare>
@@ -29,9 +29,10 @@
   void insert(sample_key key, std::uint32_t group_size);
   /// Removes a sample; moves the watermark back if the sample lies below it.
   void remove(sample_key key, std::uint32_t group_size);
-  /// All groups below are fully delivered.
+  /// All groups of the shard below this one are fully delivered.
   std::uint64_t watermark() const { return watermark_; }
-  /// Number of samples delivered above the watermark.
+  /// Number of delivered samples in the groups at or above the watermark, except groups that are
+  /// stored as fully delivered by an empty bitmap.
   std::uint64_t partial_count() const;
 
   void write_to(rpc::DeliveryRecordT& record) const;
--- a/src/delivery/ledger.h
+++ b/src/delivery/ledger.h
@@ -1,8 +1,10 @@
-/// @file Delivery state of one shard and its transitions. Pure.
+/// @file Delivery state of one shard: classifies pulls and builds delivery records. No I/O; reads
+/// no clock.
 ///
-/// Samples are delivered by the transaction that replaces the delivery record. A trainer
-/// acknowledges batch N by pulling with cursor N and the identity of N. Pulling again with cursor N
-/// means that the trainer did not persist N+1, so N+1 may be replaced under a new identity.
+/// Samples count as delivered once the transaction that replaces the delivery record has committed.
+/// A trainer acknowledges batch N by pulling with cursor N and the identity of N. Pulling again
+/// with cursor N means that the trainer did not persist N+1, so N+1 may be replaced under a new
+/// identity.
 #pragma once
 
 #include <string>
@@ -19,9 +21,11 @@
   std::string attempt;
   engines::span_list spans;
   bool failed = false;
+  /// Number of samples in the group; 0 in entries that `adopt` read from a record.
   std::uint32_t group_size = 0;
 };
 
+/// What a pull asks for.
 enum class pull_kind {
   /// The next batch; the last one is acknowledged.
   next,
--- a/src/gateway/adapter.h
+++ b/src/gateway/adapter.h
@@ -42,7 +42,7 @@
 /// Call of a client about a batch job.
 struct job_request {
   rpc::JobCallT call;
-  /// How long the client waits, if it says so.
+  /// How long the client waits for the answer; nullopt if the request does not say.
   std::optional<milliseconds> deadline;
 };
 
@@ -52,7 +52,7 @@
 
   virtual kv::record_store& store() = 0;
   virtual engines::engine_control& engines() = 0;
-  /// Null if the platform offers no such service.
+  /// Null if the platform has no duty service.
   virtual usage::duty_service* duty_service() = 0;
   virtual calls::header_names const& names() const = 0;
   virtual platform_keys const& keys() const = 0;
@@ -60,14 +60,16 @@
   /// @param fault set to the reason if nullopt is returned. Never contains a tenant's key.
   virtual std::optional<calls::configuration> parse_configuration(std::string_view value,
                                                                   std::string& fault) = 0;
+  /// @return nullopt if the record is malformed.
   virtual std::optional<directory::server> parse_server(std::string_view key,
                                                         std::string_view value) = 0;
+  /// @return nullopt if the record holds no valid request.
   virtual std::optional<operator_request> parse_request(std::string_view key,
                                                         std::string_view value) = 0;
   /// Returns the write that reports a machine as empty to the operator.
   virtual kv::operation report_empty(std::string const& machine) = 0;
 
-  /// Returns a call about an existing job, or nullopt if the request is none.
+  /// Returns a call about an existing job, or nullopt if the request is not such a call.
   virtual std::optional<job_request> parse_job_request(http::request const& message) = 0;
   /// Parses the job in the body of a request to a job route. @return nullopt if it is malformed.
   virtual std::optional<job_request> parse_submission(http::request const& message) = 0;
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -22,8 +22,9 @@
 namespace {
 
 constexpr std::string_view k_part = "gateway";
-/// A weak node delays its claim of the zone's record by this multiple of its delay for a pool:
-/// relays of other zones serve a zone without a relay, so the claim is less urgent.
+/// The delay before this node claims its zone's relay record is this multiple of its delay before
+/// it claims a pool. The claim is less urgent, since relays of other zones serve a zone without
+/// one.
 constexpr int k_relay_claim_delay_factor = 4;
 /// If an iteration of the housekeeping loop takes this long, the process was suspended and its
 /// records may be stale.
@@ -35,10 +36,10 @@
 constexpr milliseconds k_stop_poll_interval{20};
 constexpr milliseconds k_final_accept_time{150};
 constexpr std::size_t k_peer_body_bytes = 64 << 20;
-/// Nodes that collect crash reports; one is enough, the others are redundant.
+/// Number of nodes that collect crash reports. One suffices; the others provide redundancy.
 constexpr std::size_t k_evidence_collectors = 3;
-/// Records up to this age count as current: a poll of a relay (0.7 s) and the relay's own poll of
-/// the store, with a margin.
+/// Maximum age of records that count as current. Longer than a poll of a relay plus the relay's own
+/// poll of the store.
 constexpr milliseconds k_max_current_age{2000};
 constexpr std::string_view k_metrics_path = "/metrics";
 constexpr std::string_view k_plain_text = "text/plain; version=0.0.4";
@@ -63,7 +64,7 @@
   /// record is ignored.
   void take_configuration_record(kv::key_value const& record);
   void take_configuration(std::string_view value);
-  /// Starts or stops what only owners of pools do.
+  /// Starts or stops the work that only owners of pools do.
   void note_ownership();
   void note_progress();
   awaitable<void> housekeeping_loop();
--- a/src/gateway/directory_updater.cc
+++ b/src/gateway/directory_updater.cc
@@ -10,10 +10,9 @@
 namespace {
 
 constexpr std::string_view k_part = "gateway";
-/// Time for servers to rewrite their records after the store's return; the platform gives the same
-/// bound.
+/// Time after an outage of the store within which live servers rewrite their records.
 constexpr milliseconds k_record_rewrite_time{2000};
-/// A server without a record is removed at least this long before it must receive nothing more.
+/// A server without a record is removed at least this long before the end of `leave_time`.
 constexpr milliseconds k_departure_margin{250};
 
 }  // namespace
--- a/src/gateway/directory_updater.h
+++ b/src/gateway/directory_updater.h
@@ -1,8 +1,8 @@
 /// @file Updates the server directory from the servers' records.
 ///
 /// Servers' records are attached to leases, which may expire during an outage of the store; live
-/// servers rewrite their records soon after its return. So a server whose record is deleted shortly
-/// after an outage is removed only after a delay.
+/// servers rewrite their records soon after its return. Therefore a ready server whose record is
+/// deleted shortly after an outage is removed only after a delay.
 #pragma once
 
 #include <functional>
@@ -22,8 +22,10 @@
 
 class directory_updater {
  public:
-  /// @param leave_time time after a server's departure by which it must receive nothing more.
-  /// @param store_back_at end of the store's last outage; time_point::min() if there was none.
+  /// @param leave_time time after the deletion of a server's record from which the server must
+  /// receive no more requests.
+  /// @param store_back_at returns the end of the store's last outage; time_point::min() if there
+  /// was none.
   directory_updater(asio::io_context& context, platform_adapter& adapter,
                     directory::server_directory& servers, milliseconds leave_time,
                     std::function<time_point()> store_back_at)
@@ -37,8 +39,9 @@
   kv::prefix_watcher_callbacks listener();
   /// Number of records that were skipped because they can't be parsed.
   std::uint64_t malformed() const { return malformed_; }
-  /// Returns a function that reads which service's callers a server's record concerns. Records that
-  /// differ only in what a pool's owner needs have the same digest.
+  /// Returns a function that extracts the relay's traits from a server's record: its service, a
+  /// hash of its address, and a digest of what callers of the service use. Records that differ only
+  /// in what a pool's owner uses have the same digest.
   relay::trait_reader traits() const;
 
  private:
@@ -57,7 +60,7 @@
   directory::server_directory& servers_;
   milliseconds leave_time_;
   std::function<time_point()> store_back_at_;
-  /// Servers whose records were deleted, and when to remove them.
+  /// Ids of servers whose records were deleted, and when to remove them from the directory.
   std::map<std::string, time_point> pending_departures_;
   std::uint64_t malformed_ = 0;
 };
--- a/src/gateway/duties.cc
+++ b/src/gateway/duties.cc
@@ -7,7 +7,7 @@
 
 /// Name of the leased resource; one lease covers all duties.
 constexpr std::string_view k_resource_name = "platform";
-/// Time to store the report of a closed window and to send it, with repeats, before it is due.
+/// Time reserved before a report is due, to store it and to send it, with retries.
 constexpr milliseconds k_report_margin{3000};
 
 std::string resource() {
@@ -26,7 +26,7 @@
 usage::ledger_options ledger_options(settings const& node_settings) {
   usage::ledger_options options;
   options.window = node_settings.usage_window;
-  // If the deadline is too short for the margin, the wait gets half of it.
+  // If usage_late is too short for this reserve, half of it is reserved instead.
   options.max_wait = node_settings.usage_late > 2 * k_report_margin
                          ? node_settings.usage_late - k_report_margin
                          : node_settings.usage_late / 2;
--- a/src/gateway/metrics.h
+++ b/src/gateway/metrics.h
@@ -58,7 +58,7 @@
   /// Time since the store last answered each watch of this node, by topic.
   std::vector<std::pair<std::string, milliseconds>> watch_ages;
   std::vector<pool_snapshot> pools;
-  /// Requests of tenants that servers began to run.
+  /// Requests of tenants that servers may have begun to run.
   std::uint64_t tenants_requests = 0;
   std::optional<usage_snapshot> usage;
 };
--- a/src/gateway/operator_request_reader.h
+++ b/src/gateway/operator_request_reader.h
@@ -1,5 +1,5 @@
-/// @file Reads requests of operators and trainers from the record store. Only owners of pools watch
-/// them, which limits the load on the store.
+/// @file Reads requests of operators and trainers from the record store. Only nodes that
+/// own a pool watch these records, to limit the requests to the store.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,8 @@
 
 class operator_request_reader {
  public:
-  /// @param take_configuration called with the value of the configuration's record when it changes.
+  /// @param take_configuration called with the value of the configuration's record when the watch
+  /// first reads it and whenever it changes.
   operator_request_reader(asio::io_context& context, platform_adapter& adapter,
                           pool_registry& owners,
                           std::function<void(std::string_view)> take_configuration)
@@ -25,9 +26,10 @@
         pools_(owners),
         take_configuration_(std::move(take_configuration)) {}
 
+  /// Starts or stops the watch. @param owner true if this node owns a pool.
   void set_owner(bool owner);
   void resynchronize();
-  /// Ends the reports of empty machines.
+  /// Stops retrying to report machines as empty.
   void stop() { stopped_ = true; }
 
  private:
@@ -40,7 +42,7 @@
   pool_registry& pools_;
   std::function<void(std::string_view)> take_configuration_;
   std::shared_ptr<kv::prefix_watcher> follower_;
-  /// Handled requests to empty a machine, by key and revision.
+  /// Requests to empty a machine that were handled: key and revision of their records.
   std::set<std::string> handled_empty_requests_;
   bool stopped_ = false;
 };
--- a/src/gateway/pool_registry.h
+++ b/src/gateway/pool_registry.h
@@ -1,5 +1,5 @@
-/// @file The engine pools on this node: each with a candidate for its lease, and with the owner's
-/// services, which are active while the node holds the lease.
+/// @file The engine pools that this node knows. For each pool, the node competes for the owner's
+/// lease, and runs the owner's services while it holds the lease.
 #pragma once
 
 #include <optional>
@@ -44,7 +44,7 @@
   bool owns_any() const;
   /// Returns true if this node owns a pool, or still handles runs of a pool that it owned.
   bool needs_engines() const;
-  /// Returns the address of another node that owns a pool, if known.
+  /// Returns the address of another node that owns a pool; nullopt if none is known.
   std::optional<endpoint> other_owner() const;
 
   void notify();
@@ -62,8 +62,9 @@
 
   pool_registry_dependencies dependencies_;
   jobs::pool_map all_;
-  /// Records of the pools' last orderers, including pools that this node does not know yet.
+  /// Latest orderer record of each pool, by pool name, also of pools that are not in `all_` yet.
   std::map<std::string, kv::key_value> orderers_;
+  /// True once a complete snapshot of the owners' records was received.
   bool owners_known_ = false;
 };
 
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -33,13 +33,13 @@
   std::vector<endpoint> seeds;
   endpoint record_store;
   kv::store_limits store_limits;
-  /// Minimum time between orders of two successive owners.
+  /// Minimum time between the last order of a pool's owner and the first one of its successor.
   milliseconds order_gap{3000};
-  /// Time after a server's departure by which it must receive nothing more.
+  /// Time after a server's departure from which it must receive no more requests.
   milliseconds leave_time{2000};
   /// Upper bound for a planned stop.
   milliseconds stop_time{8000};
-  /// How long ended jobs can be read.
+  /// How long a job can be read after it has ended.
   milliseconds retention{120'000};
   /// Address of the platform's duty service; without it there are no duties.
   std::optional<endpoint> duty_service;
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// An ending process closes its connections one by one and its listener among them, so an immediate
-/// probe could still succeed.
+/// Delay between a broken connection and the probe. A crashing process closes its sockets one by
+/// one, so its listener may still accept an immediate probe.
 constexpr milliseconds k_settle_time{20};
 /// How long a server may continue a run after its connection was closed.
 constexpr milliseconds k_max_abandoned_run_time{500};
--- a/src/quarantine/evidence_record.h
+++ b/src/quarantine/evidence_record.h
@@ -1,4 +1,4 @@
-/// @file The record in which a node stores its crash evidence. Pure.
+/// @file The record in which a node stores its crash evidence. No I/O; reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace frostline::quarantine {
 
-/// A request and the server incarnations that ended while running it.
+/// A request and the server incarnations that crashed while running it.
 struct stored_evidence {
   fingerprint request;
   std::vector<std::string> servers;
@@ -32,7 +32,7 @@
   static std::string records_prefix();
   static std::string key_of(std::string const& node);
   std::string encode() const;
-  /// @return nothing if the record is malformed.
+  /// @return nullopt if the record is malformed.
   static std::optional<evidence_record> decode(std::string const& value);
 };
 
--- a/src/quarantine/evidence_writer.cc
+++ b/src/quarantine/evidence_writer.cc
@@ -11,8 +11,8 @@
 constexpr std::string_view k_part = "quarantine";
 constexpr milliseconds k_write_timeout{400};
 constexpr milliseconds k_write_retry_delay{300};
-/// Evidence changes with each report when servers end in quick succession; the interval bounds the
-/// load that this puts on the store.
+/// Minimum time between two writes. Limits the requests to the store while servers crash in quick
+/// succession, since each crash report changes the evidence.
 constexpr milliseconds k_min_write_interval{250};
 
 }  // namespace
--- a/src/quarantine/evidence_writer.h
+++ b/src/quarantine/evidence_writer.h
@@ -1,7 +1,7 @@
 /// @file Stores a node's crash evidence in the record store, so that it survives the node.
 ///
-/// All evidence of a node is one record, written when it changes. A record for each request would
-/// cost thousands of writes when many servers end together, since each runs several requests.
+/// All evidence of a node is one record, written when it changes. With one record per request, many
+/// writes would be needed when several servers crash together.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace frostline::quarantine {
 
-/// References outlive the writer.
+/// References must outlive the writer.
 struct evidence_writer_dependencies {
   asio::io_context& context;
   kv::record_store& store;
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -1,4 +1,5 @@
-/// @file Identifies a request across retries by its caller, target and body. Pure.
+/// @file Identifies a request across retries by its caller, host, method, target and body.
+/// No I/O.
 #pragma once
 
 #include <array>
@@ -31,7 +32,7 @@
 
   fingerprint() = default;
   static fingerprint of(request_parts const& parts);
-  /// @return nothing if `text` does not have the format of `to_string`.
+  /// @return nullopt if `text` does not have the format of `to_string`.
   static std::optional<fingerprint> parse(std::string_view text);
 
   /// 32 hexadecimal digits, which reveal nothing about the request.
--- a/src/quarantine/quarantine_list.h
+++ b/src/quarantine/quarantine_list.h
@@ -1,14 +1,14 @@
-/// @file The quarantine records known to this node: which requests are refused, and when each may
-/// be tried again. Pure.
+/// @file The quarantine records that this node has received: which requests are refused, and when
+/// each may be tried again. No I/O; reads no clock.
 ///
 /// A record takes effect a moment after this node has received it, so that a node where a server
 /// answers the request can remove the record first. A record is removed when a trial is answered or
 /// by an operator.
 ///
-/// A suspicion is a record written before the request has ended enough servers to be refused, so
-/// that the evidence survives the loss of all nodes. It has no effect on nodes that were running
-/// when it was written, because a popular request may run on crashing servers without being the
-/// cause.
+/// A suspicion is a record written before the request has crashed enough servers to be refused, so
+/// that the evidence survives the loss of all nodes. Only nodes that find a suspicion when they
+/// start refuse the request because of it, since a popular request may run on crashing servers
+/// without being the cause.
 #pragma once
 
 #include <cstdint>
@@ -32,8 +32,9 @@
   fingerprint request;
   /// Revision of the record in the store.
   kv::revision revision = 0;
-  /// Server incarnations that ended while running the request.
+  /// Server incarnations that crashed while running the request.
   std::vector<std::string> servers;
+  /// Number of trials that were claimed.
   std::uint32_t trials = 0;
   /// True if the record was written before the crash threshold was reached.
   bool is_suspicion = false;
@@ -51,34 +52,36 @@
   /// node that wrote the suspicion withdraws it, if that node is still running
   /// (quarantine/service).
   static constexpr milliseconds k_suspicion_effect_delay{1'500};
-  /// Delay of each trial after the record's last change. Every trial of a real poison request costs
-  /// a server, so there are only two. The first comes early to clear requests that merely ran on
-  /// servers that others crashed.
+  /// Delay of each trial after this node received the record's last change. Every trial of a real
+  /// poison request crashes a server, so there are only two. The first comes early, to clear
+  /// requests that merely ran on servers that other requests crashed.
   static constexpr milliseconds k_trial_delays[] = {milliseconds(1'500), milliseconds(300'000)};
   /// Limit of stored records; beyond it the least recently changed one is evicted.
   static constexpr std::size_t k_max_entries = 256;
 
   static std::string records_prefix();
   static std::string key_of(fingerprint const& request);
+  /// @param trial_node node that claims a trial with this write; empty if the write claims none.
   static std::string encode(quarantine_entry const& entry, std::string const& trial_node);
-  /// @return nothing if the record is malformed.
+  /// @return nullopt if the record is malformed.
   static std::optional<quarantine_entry> decode(kv::key_value const& record);
 
-  /// Ignores a revision that is not newer than the known one.
+  /// Adds or updates a record. Ignores a revision that is not newer than the one in the list.
   /// @return true if the entry was added or updated.
   bool put(quarantine_entry entry, time_point now, discovery discovered = discovery::later);
   /// @return true if there was a record.
   bool remove(fingerprint const& request);
 
   verdict check(fingerprint const& request, time_point now) const;
-  /// Time until the next trial is due; nothing if there is no record or no trial is left.
+  /// Time until the next trial; 0 if it is due, nullopt if there is no record or no trial is left.
   std::optional<milliseconds> time_until_trial(fingerprint const& request, time_point now) const;
+  /// Null if there is no record.
   quarantine_entry const* find(fingerprint const& request) const;
   /// Returns true if there is a record and it is not just a suspicion.
   bool is_proven(fingerprint const& request) const;
-  /// Time since this node learned of the record; zero if there is none.
+  /// Time since this node first received the record; 0 if there is none.
   milliseconds known_for(fingerprint const& request, time_point now) const;
-  /// The least recently changed record if there are too many, null otherwise.
+  /// The least recently changed record if there are more than k_max_entries, else null.
   quarantine_entry const* entry_to_evict() const;
   bool empty() const { return entries_.empty(); }
   std::size_t size() const { return entries_.size(); }
--- a/src/quarantine/recent_answers.h
+++ b/src/quarantine/recent_answers.h
@@ -1,5 +1,5 @@
 /// @file Requests that servers have answered recently, since evidence against a request may arrive
-/// from another node after its answer. Pure.
+/// from another node after the answer. No I/O; reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,13 @@
 
 class recent_answers {
  public:
-  /// Longer than evidence and a record take to reach this node.
+  /// How long an answer is remembered. Longer than evidence and a record take to reach this node.
   static constexpr milliseconds k_retention{3'000};
-  /// Bounds memory; exceeds what one node answers within the retention time under typical load.
+  /// Limit of remembered answers; beyond it the oldest is dropped.
   static constexpr std::size_t k_max_entries = 1024;
 
   void note(fingerprint const& request, time_point now);
+  /// Returns true if the request was answered within the retention time before `now`.
   bool has(fingerprint const& request, time_point now) const;
   std::size_t size() const { return latest_.size(); }
 
--- a/src/quarantine/report_outbox.h
+++ b/src/quarantine/report_outbox.h
@@ -1,4 +1,5 @@
-/// @file Crash evidence seen by this node, and how much of it each collector has received. Pure.
+/// @file Crash evidence seen by this node, and how much of it each collector has acknowledged. No
+/// I/O; reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +16,16 @@
 
 struct crash_report {
   std::vector<crash> evidence;
-  /// Number of the last entry in the report.
+  /// Number of the last crash in the report; 0 if the report is empty.
   std::uint64_t last_number = 0;
 };
 
 class report_outbox {
  public:
-  /// Bounds the evidence kept for nodes that become collectors later.
+  /// Limit of crashes kept for collectors, also for nodes that become collectors later; beyond it
+  /// the oldest is dropped.
   static constexpr std::size_t k_max_entries = 512;
+  /// Limit of crashes in one report.
   static constexpr std::size_t k_max_report_size = 64;
 
   void add(crash event);
@@ -32,7 +35,7 @@
   /// Drops evidence of crashes at `before` or earlier.
   void expire(time_point before);
 
-  /// Evidence that this collector has not acknowledged yet, oldest first.
+  /// Evidence that this collector has not acknowledged yet, oldest first, up to k_max_report_size.
   crash_report next_report(endpoint const& collector) const;
   bool has_pending(endpoint const& collector) const;
   /// The collector acknowledged a report.
--- a/src/quarantine/service.cc
+++ b/src/quarantine/service.cc
@@ -15,10 +15,11 @@
 /// for a write to propagate.
 constexpr milliseconds k_collector_stagger{150};
 /// How long after the last crash a node refuses a request by its own evidence while it receives no
-/// records. One attempt is let through afterwards.
+/// records. Afterwards the request is allowed again, until it crashes another server.
 constexpr milliseconds k_local_refusal_time{5'000};
 constexpr milliseconds k_write_timeout{400};
-/// Servers that end in sequence under runs of this node before a suspicion is recorded.
+/// Number of servers that must crash in sequence in runs of this node before a suspicion is
+/// recorded.
 constexpr std::uint32_t k_suspicion_threshold = 2;
 /// How long a suspicion stands: longer than the third run takes to be confirmed by the collectors,
 /// and shorter than quarantine_list::k_suspicion_effect_delay, with time for a retry of the
@@ -32,7 +33,7 @@
 constexpr milliseconds k_revocation_spread{300};
 constexpr milliseconds k_write_retry_delay{300};
 /// How long evidence is kept. Clients retry within minutes, and crashes further apart are weak
-/// evidence, since other nodes may have seen an answer in between.
+/// evidence, since another node may have seen an answer between them.
 constexpr milliseconds k_retention{600'000};
 
 }  // namespace
@@ -55,10 +56,10 @@
 bool service::refuses_locally(fingerprint const& request, time_point now) const {
   crash_history const* const seen = seen_here_.find(request);
   if (seen == nullptr || !seen->threshold_reached_at) return false;
-  // Collectors have more evidence, and their record arrives soon. One node alone may blame a
-  // request that merely ran on the same servers.
+  // Collectors have more evidence, and their record arrives soon. The evidence of one node may
+  // point to a request that merely ran on the same servers as a poison request.
   if (dependencies_.are_records_current()) return false;
-  // It may still be answered once servers have restarted.
+  // The request may still be answered once servers have restarted.
   bool const undisputed = now >= *seen->threshold_reached_at + quarantine_list::k_effect_delay;
   return undisputed && now < seen->last_crash_at + k_local_refusal_time;
 }
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -1,19 +1,19 @@
 /// @file Detects poison requests, which crash the servers that run them, and keeps them from
 /// reaching more servers.
 ///
-/// Each node records which of its requests were running on a server when it ended, and reports them
-/// to the collectors, which are the relays of some zones. Once a request that was never answered
-/// has ended three servers, a collector writes a record to the record store, which the relays
-/// distribute. Nodes that know the record refuse the request, except for a few trials. If a server
-/// answers the request on any node, that node removes the record.
+/// Each node records which of its requests were running on a server when it crashed, and reports
+/// them to the collectors, which are the relays of some zones. Once a request that was never
+/// answered has crashed three servers, a collector writes a record to the record store, which the
+/// relays distribute. Nodes that have received the record refuse the request, except for a few
+/// trials. If a server answers the request on any node, that node removes the record.
 ///
-/// A node whose runs of a request have ended two servers in sequence records a suspicion before the
-/// third run, so that the evidence survives even if that run takes down all nodes. It withdraws the
-/// suspicion if the third run does not confirm it.
+/// A node whose runs of a request have crashed two servers in sequence records a suspicion before
+/// the third run, so that the evidence survives even if that run takes down all nodes. It withdraws
+/// the suspicion if the third run does not confirm it.
 ///
-/// Collectors also store evidence of requests that have ended two servers. If a starting node finds
-/// evidence whose writer no longer runs, the request is quarantined, because the nodes that knew of
-/// a third crash may be gone.
+/// Collectors also store evidence of requests that have crashed two servers. If the first collector
+/// found evidence at its start whose writer no longer runs, it quarantines the request, because
+/// nodes that saw a third crash may be gone.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
 
 namespace frostline::quarantine {
 
-/// References outlive the service.
+/// References must outlive the service.
 struct service_dependencies {
   asio::io_context& context;
   kv::record_store& store;
@@ -59,7 +59,7 @@
 
 /// Totals since the process began.
 struct quarantine_counters {
-  /// Requests of this node that were running on a server when it ended.
+  /// Requests of this node that were running on a server when it crashed.
   std::uint64_t crashes = 0;
   std::uint64_t refused = 0;
   std::uint64_t trials = 0;
@@ -91,18 +91,18 @@
   /// threshold and its record is not in effect yet, or because evidence from previous nodes is
   /// being resolved.
   bool should_wait(fingerprint const& request, time_point now);
-  /// Time until a refused request may be tried again; nothing if it is unknown.
+  /// Time until a refused request may be tried again; nullopt if it is unknown.
   std::optional<milliseconds> time_until_retry(fingerprint const& request, time_point now) const;
   /// Claims a trial, which only one node may run. @return true if this node may run it.
   awaitable<bool> claim_trial(fingerprint request);
   /// Counts and logs a request that was refused after `check`.
   void note_refused(fingerprint const& request);
-  /// Number of servers that this node has seen end while running the request.
+  /// Number of servers that this node has seen crash while running the request.
   std::size_t crashes_seen(fingerprint const& request) const;
 
-  /// Returns true if a suspicion must be recorded before the request runs here again: it has ended
-  /// two servers in sequence, and only this node knows. If the next run took down all nodes, the
-  /// evidence would be lost.
+  /// Returns true if a suspicion must be recorded before the request runs here again: it has
+  /// crashed two servers in sequence in runs of this node, and there is no record of it. If the
+  /// next run took down all nodes, the evidence would be lost.
   bool must_be_recorded(fingerprint const& request) const;
   /// Waits for pending probes and then records a suspicion if it is still required. The write is
   /// tried once; the suspicion is withdrawn later unless it was confirmed.
@@ -166,7 +166,8 @@
   void resolve_previous_evidence_if_due(time_point now);
   /// Quarantines requests whose stored evidence was written by processes that no longer run.
   awaitable<void> resolve_previous_evidence();
-  /// Returns true if the process that wrote the record is still running.
+  /// Returns true if the process that wrote the record answers a call; false if it does not in
+  /// time.
   awaitable<bool> is_writer_alive(evidence_record const& record);
   /// Removes records whose writers are gone; this node has taken over their evidence.
   awaitable<void> remove_previous_records();
@@ -194,7 +195,7 @@
   };
   /// Evidence found in the store at startup, until it is resolved.
   std::vector<previous_record> previous_records_;
-  /// Requests in that evidence, and until when their runs wait for it to be resolved.
+  /// Requests in `previous_records_`, and until when their runs wait for it to be resolved.
   std::set<fingerprint> unresolved_;
   time_point unresolved_until_ = time_point::min();
   bool resolving_ = false;
--- a/src/quarantine/service_evidence.cc
+++ b/src/quarantine/service_evidence.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// Servers that a request ends before its evidence is stored.
+/// Number of servers that a request must have crashed before its evidence is stored.
 constexpr std::size_t k_stored_crashes = 2;
 /// Limit of requests in the record, to bound its size. Those with the most servers are stored
 /// first.
--- a/src/quarantine/suspect_table.h
+++ b/src/quarantine/suspect_table.h
@@ -1,5 +1,5 @@
-/// @file Counts the servers that ended while running each request, to distinguish poison requests
-/// from those that merely ran on the same servers. Pure.
+/// @file Counts the servers that crashed while running each request, to distinguish poison requests
+/// from those that merely ran on the same servers. No I/O; reads no clock.
 ///
 /// A request that a server answers is not a poison request, so its entry is dropped.
 #pragma once
@@ -18,10 +18,11 @@
 
 namespace frostline::quarantine {
 
-/// Number of servers that a request may crash before it is quarantined.
+/// A request that has crashed this many servers is quarantined, unless other requests explain the
+/// crashes.
 inline constexpr std::uint32_t k_crash_threshold = 3;
 
-/// A server that ended while it ran a request.
+/// The crash of a server while it ran a request.
 struct crash {
   fingerprint request;
   /// Incarnation of the server.
@@ -33,22 +34,23 @@
 
 /// Crashes attributed to one request.
 struct crash_history {
-  /// Server incarnations that ended while running the request, in the order of the reports.
+  /// Server incarnations that crashed while running the request, at most k_max_servers, in the
+  /// order in which they were noted.
   std::vector<std::string> servers;
   /// Number of crashes in sequence, each of a run that began after the previous crash. Servers that
-  /// end together, as in a power failure, count as one, since a popular request is in flight on
-  /// many.
+  /// crash together, as in a power failure, count as one, since a popular request may be running on
+  /// many of them.
   std::uint32_t sequential_crashes = 0;
-  /// When `sequential_crashes` reached k_crash_threshold.
+  /// When `sequential_crashes` reached k_crash_threshold; nullopt before.
   std::optional<time_point> threshold_reached_at;
-  /// When the last server ended.
+  /// When the last server crashed.
   time_point last_crash_at = time_point::min();
 };
 
 class suspect_table {
  public:
-  /// Limit of entries, about 300 bytes each. It exceeds the requests in flight when many servers
-  /// crash together. Beyond it, the entry with the fewest servers is evicted, the oldest first.
+  /// Limit of entries. Beyond it, the entry with the fewest servers is evicted; among equal ones,
+  /// that with the oldest last crash.
   static constexpr std::size_t k_max_entries = 8192;
   /// Limit of incarnations kept for each entry. It exceeds the crash threshold, since these
   /// incarnations also explain the crashes of other requests on the same servers.
@@ -56,19 +58,21 @@
 
   explicit suspect_table(std::size_t max_entries = k_max_entries) : max_entries_(max_entries) {}
 
-  /// Adds a crash; a known incarnation changes nothing. @return the request's history.
+  /// Adds a crash, unless the request's history has the server incarnation already. @return the
+  /// request's history.
   crash_history const& note(crash const& event);
-  /// A server answered the request.
+  /// Drops the entry of a request, since a server answered it.
   void clear(fingerprint const& request);
   /// Drops entries whose last crash was at `before` or earlier.
   void expire(time_point before);
   /// Null if there is no entry.
   crash_history const* find(fingerprint const& request) const;
-  /// Requests that ended at least `min_servers` servers, those with the most servers first.
+  /// Up to `max_count` requests that crashed at least `min_servers` servers, those with the most
+  /// servers first.
   std::vector<fingerprint> most_suspected(std::size_t min_servers, std::size_t max_count) const;
-  /// Returns true if each server that ended under this request also ended under a request with
-  /// stronger evidence. Retries of a harmless request may be placed on servers that a poison
-  /// request crashes several times in a row.
+  /// Returns true if each server that crashed while running this request was also running another
+  /// request that has crashed more servers or is known to be poison. Retries of a harmless request
+  /// may be placed on servers that a poison request crashes several times in a row.
   /// @param is_known_poison returns true for requests with a proven record.
   bool is_explained_by_others(fingerprint const& request,
                               std::function<bool(fingerprint const&)> const& is_known_poison) const;
--- a/src/quarantine/undecided_runs.h
+++ b/src/quarantine/undecided_runs.h
@@ -1,6 +1,6 @@
-/// @file Runs that broke off at a server whose address accepted connections afterwards. The
-/// listener may be the same process or its restart; the directory's record of the restart arrives
-/// within seconds and decides. Pure.
+/// @file Runs without a complete answer at servers that a probe did not find crashed. The probe may
+/// have reached the same process or a restarted one. If the directory soon lists a restart, the
+/// server counts as crashed. No I/O; reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -19,8 +19,7 @@
   /// the probe. Longer than the record of a restart takes to arrive, and shorter than a server
   /// takes to restart, so that a crash after the probe is not attributed to the run.
   static constexpr milliseconds k_retention{1'500};
-  /// Limit of runs, sized for all connections of a node breaking at once; beyond it the oldest is
-  /// dropped.
+  /// Limit of runs; beyond it the oldest is dropped.
   static constexpr std::size_t k_max_runs = 512;
 
   void add(directory::server const& server, crash run, time_point now);
--- a/src/usage/duty_service.h
+++ b/src/usage/duty_service.h
@@ -21,7 +21,7 @@
   accepted,
   /// The service is overloaded and did nothing.
   busy,
-  /// The call will never be accepted: it is malformed or a newer holder is known.
+  /// The call will never be accepted: it is malformed, or the service has accepted a newer holder.
   refused,
   /// No answer or a failure; the report may have been accepted.
   unknown,
--- a/src/usage/run_counter.h
+++ b/src/usage/run_counter.h
@@ -1,4 +1,5 @@
-/// @file Counts the requests of each tenant that servers began to run for one node, and when. Pure.
+/// @file Counts this node's requests that servers may have begun to run, by tenant and with their
+/// start times. No I/O; reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +18,12 @@
 
   /// A request is about to be sent to a server, which may begin to run it from now on.
   attempt_id begin_attempt(time_point now);
-  /// Counts the request if the server began to run it.
-  /// @param began_at when the server began, if it did.
+  /// Ends an attempt. Counts the request if `began` is true and `tenant` is not empty.
+  /// @param began_at when the server began to run the request; ignored if `began` is false.
   void end_attempt(attempt_id id, std::string const& tenant, bool began, time_point began_at);
 
-  /// Entries after `sequence`, and the time up to which they are complete.
+  /// Entries with a sequence above `sequence`, and the time up to which all runs are included, both
+  /// with times relative to `now`.
   /// @param max_entries limit of entries; the rest follows with the next call.
   rpc::UsageCallT entries_after(std::uint64_t sequence, time_point now,
                                 std::size_t max_entries) const;
@@ -30,6 +32,7 @@
   }
   /// Drops entries of requests that began before `when`, once no window can count them.
   void drop_before(time_point when);
+  /// Number of requests counted since construction.
   std::uint64_t total() const { return total_; }
 
  private:
--- a/src/usage/usage_ledger.cc
+++ b/src/usage/usage_ledger.cc
@@ -5,12 +5,13 @@
 namespace frostline::usage {
 namespace {
 
-/// A process that is silent for this long no longer delays the closing of windows. Longer than the
-/// maximum wait plus a window, so its counts belong to closed windows.
+/// A process that has sent nothing for this long is dropped and no longer delays the closing of
+/// windows.
 constexpr milliseconds k_process_timeout{20'000};
-/// Older windows are not reported after a time without a holder.
+/// A new holder drops open windows that are further back than this from the current one.
 constexpr std::uint64_t k_max_backlog_windows = 12;
-/// Longer than a call from a healthy node to the holder takes.
+/// Minimum time between the end of a window and its closing. Longer than a call from a healthy node
+/// to the holder takes.
 constexpr milliseconds k_min_close_delay{400};
 
 rpc::UsageWindowT make_window(std::uint64_t window,
@@ -131,7 +132,7 @@
 }
 
 std::set<std::string> usage_ledger::incomplete_at(wall_time when) const {
-  // Earlier processes of a node have ended; only the latest one counts.
+  // Earlier processes of a node have ended; only the one with the latest counts matters.
   std::map<std::string, process const*> newest;
   for (auto const& [incarnation, known] : processes_) {
     process const*& latest = newest[known.node];
--- a/src/usage/usage_ledger.h
+++ b/src/usage/usage_ledger.h
@@ -1,6 +1,6 @@
 /// @file State of the node that reports usage: counts of each window by tenant, which nodes have
-/// sent all their counts, and which windows are closed. Pure; the state is kept in the record
-/// store.
+/// sent all their counts, and which windows are closed. No I/O; reads no clock. The caller keeps
+/// the state in the record store.
 #pragma once
 
 #include <cstdint>
@@ -28,9 +28,11 @@
 struct closed_window {
   std::uint64_t window = 0;
   std::uint64_t requests = 0;
+  /// Number of processes that the ledger was tracking.
   std::size_t nodes = 0;
   /// Nodes that had not sent all their counts.
   std::vector<std::string> missing;
+  /// Time between the end of the window and its closing.
   milliseconds waited{0};
 };
 
@@ -52,7 +54,8 @@
   /// shifts no window.
   wall_time true_time(time_point now) const;
 
-  /// Closes each window for which all nodes have sent their counts or the maximum wait is over.
+  /// Closes, in order, each ended window for which all nodes have sent their counts or the maximum
+  /// wait is over.
   std::vector<closed_window> close_due(time_point now);
 
   /// Closed windows whose report is not yet acknowledged, oldest first.
@@ -71,7 +74,9 @@
 
   struct process {
     std::string node;
+    /// Highest sequence counted.
     std::uint64_t counted_to = 0;
+    /// All requests that began before this time have been counted; 0 before the first call.
     wall_time complete_to = 0;
     /// The process's wall clock minus the holder's steady clock, once received.
     std::optional<wall_time> offset;
@@ -91,7 +96,7 @@
   std::uint64_t first_open_ = 0;
   std::map<std::uint64_t, tenant_counts> open_;
   std::map<std::uint64_t, rpc::UsageWindowT> unreported_;
-  /// By incarnation.
+  /// By incarnation of the process.
   std::map<std::string, process> processes_;
   /// Offset of this node's own clock, used until a process has sent one.
   wall_time own_offset_ = 0;
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -13,12 +13,13 @@
 constexpr std::string_view k_part = "usage";
 constexpr std::string_view k_state_key = "frostline/usage/state";
 constexpr milliseconds k_poll_interval{250};
-/// Bounds the counts that are lost when a node crashes.
+/// Interval of calls with new counts; counts of about this time are lost when a node crashes.
 constexpr milliseconds k_send_interval{500};
-/// Idle nodes also send calls, so that windows can be closed without waiting for them.
+/// Interval of calls without new counts, which show that a node's counts are complete, so that
+/// windows can be closed.
 constexpr milliseconds k_idle_interval{2000};
-/// Bounds the counts that nodes must send again when the holder crashes; each write is one store
-/// call.
+/// Interval of writes of the holder's state. Counts since the last write are sent again by the
+/// nodes when the holder crashes.
 constexpr milliseconds k_store_interval{1000};
 /// Time for the other nodes to send their counts to a new holder before it closes windows.
 constexpr milliseconds k_collection_wait{1500};
@@ -27,7 +28,7 @@
 constexpr milliseconds k_retry_delay{250};
 /// Limit of entries in one call; the rest follows with the next one.
 constexpr std::size_t k_max_entries = 400;
-/// Long enough for a new holder to close all windows that the entries belong to.
+/// How long a node keeps its counts, to send them again to a new holder.
 constexpr milliseconds k_retention{40'000};
 /// Time after the end of a window at which an unacknowledged report is abandoned.
 constexpr milliseconds k_max_report_age{60'000};
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -18,7 +18,7 @@
 
 namespace frostline::usage {
 
-/// References outlive the reporter.
+/// References must outlive the reporter.
 struct reporter_dependencies {
   asio::io_context& context;
   kv::record_store& store;
@@ -47,7 +47,7 @@
   explicit usage_reporter(reporter_dependencies dependencies);
 
   void start();
-  /// Handles the counts sent by a node, which may be this one. Not taken unless this node is the
+  /// Adds the counts sent by a node, which may be this one. Ignores them unless this node is the
   /// active holder.
   rpc::UsageReplyT count(rpc::UsageCallT call);
   /// Sends the remaining counts to the holder and, if this node is the holder, stores its state
