--- a/src/calls/forwarder_streams.cc
+++ b/src/calls/forwarder_streams.cc
@@ -6,7 +6,7 @@
 namespace frostline::calls {
 namespace {
 
-/// A stream without data for this long is considered dead.
+/// An event stream that sends no data for this long counts as failed.
 constexpr milliseconds k_stream_idle_timeout{1800};
 
 }  // namespace
--- a/src/calls/ingress.cc
+++ b/src/calls/ingress.cc
@@ -14,7 +14,7 @@
 constexpr std::string_view k_part = "ingress";
 constexpr milliseconds k_accept_retry_delay{10};
 constexpr milliseconds k_body_timeout{10'000};
-/// A client that does not read its answer for this long is disconnected.
+/// A client is disconnected if a write to it takes longer than this.
 constexpr milliseconds k_write_timeout{10'000};
 
 http::status status_for(beast::error_code const& failure) {
--- a/src/gateway/application.cc
+++ b/src/gateway/application.cc
@@ -26,8 +26,8 @@
 /// it claims a pool. The claim is less urgent, since relays of other zones serve a zone without
 /// one.
 constexpr int k_relay_claim_delay_factor = 4;
-/// If an iteration of the housekeeping loop takes this long, the process was suspended and its
-/// records may be stale.
+/// If an iteration of the housekeeping loop takes this long, the process is assumed to have been
+/// suspended, so that the node's records may be stale.
 constexpr milliseconds k_suspension_threshold{1200};
 constexpr milliseconds k_housekeeping_interval{250};
 /// How long a stopping node serves new clients, so that the platform can redirect them.
--- a/src/gateway/application.h
+++ b/src/gateway/application.h
@@ -1,4 +1,5 @@
-/// @file A gateway node: creates and connects all components. Only this class knows all of them.
+/// @file A gateway node: creates and connects all components. Only this class refers to all of
+/// them.
 #pragma once
 
 #include <functional>
@@ -11,8 +12,8 @@
 
 namespace frostline::gateway {
 
-/// Transitions: starting -> serving (configuration and servers are known) -> stopping -> stopped;
-/// starting -> stopping.
+/// Transitions: starting -> serving (configuration and servers were received) -> stopping ->
+/// stopped; starting -> stopping.
 enum class application_state { starting, serving, stopping, stopped };
 
 class application {
@@ -23,7 +24,7 @@
 
   /// Binds all listeners and starts the components. @return an error message; empty on success.
   std::string start();
-  /// Begins a planned stop; `on_stopped` runs at its end.
+  /// Begins a planned stop. @param on_stopped called when the stop is complete.
   void stop(std::function<void()> on_stopped);
   /// Applies changed settings that do not need a restart.
   void reload(settings const& new_settings);
--- a/src/gateway/client_calls.cc
+++ b/src/gateway/client_calls.cc
@@ -19,8 +19,7 @@
 constexpr int k_answer_reserve_divisor = 20;
 constexpr milliseconds k_min_answer_reserve{15};
 constexpr milliseconds k_max_answer_reserve{100};
-/// Returned as retry_after_ms before the first configuration, which usually arrives within a few
-/// such intervals.
+/// Returned as retry_after_ms for calls about jobs that arrive before the first configuration.
 constexpr milliseconds k_unconfigured_retry_delay{300};
 
 /// Returns how long an answer may take if the caller waits for `max_wait`.
--- a/src/gateway/duties.h
+++ b/src/gateway/duties.h
@@ -1,5 +1,5 @@
 /// @file Duties towards the platform that one node at a time performs for the whole system: the
-/// lease that selects this node, and the reports of usage.
+/// lease that selects the node, and the usage reports.
 #pragma once
 
 #include <string>
@@ -37,7 +37,7 @@
   bool is_holder() const { return lease_.state() == ownership::lease_state::owner; }
   /// Registers the RPC methods for other nodes.
   void add_methods(rpc::dispatcher& methods);
-  /// Reports and stores the remaining usage by `deadline`, then releases the lease.
+  /// Sends or stores the remaining usage, see `usage_reporter::finish`, then releases the lease.
   awaitable<void> release(time_point deadline);
   usage::usage_reporter const& reporter() const { return reporter_; }
 
--- a/src/gateway/metrics.cc
+++ b/src/gateway/metrics.cc
@@ -12,7 +12,7 @@
   return all;
 }
 
-/// Registers one gauge per value and writes them as text; the values are kept elsewhere.
+/// Collects values as gauges and writes them in the Prometheus text format.
 class gauge_page {
  public:
   void set(std::string const& name, std::string const& help, double value,
--- a/src/gateway/pool_registry.h
+++ b/src/gateway/pool_registry.h
@@ -52,7 +52,8 @@
   void note_servers(std::vector<std::string> const& ids);
   void set_order_gap(milliseconds gap);
   void name_version(std::string const& model, std::uint64_t version);
-  /// Stores finished results by `deadline` and releases all leases.
+  /// Stores finished results, waiting until `deadline` at the latest for each pool, and releases
+  /// all leases.
   awaitable<void> release(time_point deadline);
   /// Registers the RPC methods for other nodes.
   void add_methods(rpc::dispatcher& methods);
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -23,13 +23,13 @@
   std::string zone;
   /// Share of a processor core that the process may use.
   double processor_share = 0.25;
-  /// Address for clients.
+  /// Address at which the gateway accepts clients.
   endpoint clients;
   /// Address for the platform's readiness probe.
   endpoint readiness;
-  /// Address for other nodes, and for metrics.
+  /// Address at which the gateway accepts calls of other nodes and serves metrics.
   endpoint peers;
-  /// Peer addresses of some nodes; any of them may be down.
+  /// `peers` addresses of some other nodes, not all of which need to be running.
   std::vector<endpoint> seeds;
   endpoint record_store;
   kv::store_limits store_limits;
@@ -37,7 +37,7 @@
   milliseconds order_gap{3000};
   /// Time after a server's departure from which it must receive no more requests.
   milliseconds leave_time{2000};
-  /// Upper bound for a planned stop.
+  /// Maximum duration of a planned stop.
   milliseconds stop_time{8000};
   /// How long a job can be read after it has ended.
   milliseconds retention{120'000};
@@ -45,7 +45,7 @@
   std::optional<endpoint> duty_service;
   /// Length of the windows for which usage is reported; 0: usage is not reported.
   milliseconds usage_window{0};
-  /// Time after the end of a window by which its usage must be reported.
+  /// Time after the end of a window within which its usage must be reported.
   milliseconds usage_late{10'000};
   std::size_t connections = 2000;
   std::string log_level = "info";
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -159,7 +159,7 @@
     if (dependencies_.adopt_connection) dependencies_.adopt_connection(server, std::move(stream));
     co_return server_condition::alive;
   }
-  // Other failures, such as a network partition, do not show that the server has ended.
+  // Other failures, such as a network partition, do not show that the server has crashed.
   bool const refused = failure == asio::error::connection_refused;
   co_return refused ? server_condition::ended : server_condition::unknown;
 }
--- a/src/quarantine/service_reports.cc
+++ b/src/quarantine/service_reports.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// Lets evidence of crashes at about the same time go into one report.
+/// Delay before a report, so that crashes at about the same time go into one report.
 constexpr milliseconds k_report_batch_delay{30};
 constexpr milliseconds k_report_timeout{250};
 constexpr milliseconds k_report_retry_interval{200};
--- a/src/quarantine/undecided_runs.h
+++ b/src/quarantine/undecided_runs.h
@@ -15,15 +15,15 @@
 
 class undecided_runs {
  public:
-  /// How long a restart seen in the directory is taken as proof that the server had ended before
-  /// the probe. Longer than the record of a restart takes to arrive, and shorter than a server
-  /// takes to restart, so that a crash after the probe is not attributed to the run.
+  /// How long after a run was added a restart in the directory still counts as a crash under this
+  /// run. Longer than the record of a restart takes to arrive, and shorter than a server takes to
+  /// restart, so that a crash after the probe is not attributed to the run.
   static constexpr milliseconds k_retention{1'500};
   /// Limit of runs; beyond it the oldest is dropped.
   static constexpr std::size_t k_max_runs = 512;
 
   void add(directory::server const& server, crash run, time_point now);
-  /// Removes and returns the runs whose servers have been replaced.
+  /// Removes and returns the runs whose servers have been restarted.
   std::vector<crash> extract_replaced(
       std::function<bool(directory::server const&)> const& is_superseded);
   /// Drops runs at servers that are being stopped on purpose.
--- a/src/usage/run_counter.h
+++ b/src/usage/run_counter.h
@@ -24,7 +24,7 @@
 
   /// Entries with a sequence above `sequence`, and the time up to which all runs are included, both
   /// with times relative to `now`.
-  /// @param max_entries limit of entries; the rest follows with the next call.
+  /// @param max_entries limit of entries; the others are returned by a later call.
   rpc::UsageCallT entries_after(std::uint64_t sequence, time_point now,
                                 std::size_t max_entries) const;
   bool has_entries_after(std::uint64_t sequence) const {
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -26,7 +26,7 @@
 constexpr milliseconds k_send_timeout{800};
 constexpr milliseconds k_store_timeout{1000};
 constexpr milliseconds k_retry_delay{250};
-/// Limit of entries in one call; the rest follows with the next one.
+/// Limit of entries in one call; the remaining entries follow with the next call.
 constexpr std::size_t k_max_entries = 400;
 /// How long a node keeps its counts, to send them again to a new holder.
 constexpr milliseconds k_retention{40'000};
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -51,7 +51,8 @@
   /// active holder.
   rpc::UsageReplyT count(rpc::UsageCallT call);
   /// Sends the remaining counts to the holder and, if this node is the holder, stores its state
-  /// before the lease is handed over. Returns by `deadline`.
+  /// before the lease is released. Waits for calls and writes in progress until `deadline`; the
+  /// last call and write may end later.
   awaitable<void> finish(time_point deadline);
 
   holder_state state() const { return state_; }
@@ -63,7 +64,7 @@
  private:
   awaitable<void> send_loop();
   bool is_send_due(time_point now) const;
-  /// Sends new counts to the holder, if there is one.
+  /// Sends counts that the holder has not acknowledged, if there is a holder.
   awaitable<void> send_counts(milliseconds timeout);
   awaitable<void> holder_loop();
   awaitable<void> load();
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr milliseconds k_wait_timeout{2000};
-/// Longer than a server with an abandoned run is probed.
+/// Longer than the time for which a server with an abandoned run is probed.
 constexpr milliseconds k_monitoring_time{900};
 
 }  // namespace
--- a/tests/unit/quarantine/evidence_keeper_test.cc
+++ b/tests/unit/quarantine/evidence_keeper_test.cc
@@ -13,7 +13,7 @@
 
 constexpr milliseconds k_wait_timeout{2000};
 constexpr milliseconds k_one_second{1000};
-/// Keeps the writes of three collectors within a twentieth of the capacity of a small store.
+/// Maximum number of evidence writes of one node in one second.
 constexpr std::uint64_t k_max_writes_per_second = 6;
 
 fingerprint request_of(int number) {
--- a/tests/unit/quarantine/quarantine_service_test.cc
+++ b/tests/unit/quarantine/quarantine_service_test.cc
@@ -42,7 +42,7 @@
     collector.start();
   }
 
-  /// A server at whose address nothing listens.
+  /// Returns a crashed server: nothing listens at its address.
   directory::server ended_server(std::string const& id) {
     directory::server server;
     server.id = id;
@@ -56,7 +56,7 @@
     CHECK(run_until([&] { return collector.crashes_seen(under) > before; }));
   }
 
-  /// Three crashes in sequence, in runs of this node.
+  /// Observes three crashes in sequence, in runs of this node.
   void observe_three_crashes() {
     for (char const* server : {"one", "two", "three"}) observe_crash(server, request);
   }
@@ -283,7 +283,7 @@
   load_evidence_at_startup(collectors.back(), "other");
   CHECK_FALSE(becomes_recorded_while_cleaning());
   CHECK(collector.check(request, boot_clock::now() + seconds(10)) == verdict::allowed);
-  // Its evidence still counts towards the threshold.
+  // The evidence of the request still counts towards the threshold.
   report("three");
   CHECK(becomes_recorded());
 }
--- a/tests/unit/quarantine/suspect_table_test.cc
+++ b/tests/unit/quarantine/suspect_table_test.cc
@@ -19,7 +19,7 @@
   suspect_table table{3};
   time_point const start{milliseconds(1'000'000)};
 
-  /// Notes a run of a request that was sent and ended with its server at these times in ms.
+  /// Notes a crash of `server` while it ran a request. Times are in ms after `start`.
   crash_history note(std::string const& body, std::string const& server, int sent, int ended) {
     return table.note(
         {request_of(body), server, start + milliseconds(sent), start + milliseconds(ended)});
--- a/tests/unit/usage/usage_ledger_test.cc
+++ b/tests/unit/usage/usage_ledger_test.cc
@@ -23,7 +23,8 @@
 
   time_point at(std::int64_t ms) const { return begin + milliseconds(ms); }
 
-  /// A call sent by a node `ms` after the start, with one request that began `ago` ms before.
+  /// Returns a call that a node sends `ms` after k_start. Unless `sequence` is 0, it reports one
+  /// request, which began `ago` ms before the call.
   rpc::UsageCallT call_of(std::string const& node, std::int64_t ms, std::uint64_t sequence = 0,
                           std::uint64_t ago = 0) {
     rpc::UsageCallT call;
