--- a/src/quarantine/crash_watch.h
+++ b/src/quarantine/crash_watch.h
@@ -29,8 +29,8 @@
 
 class crash_watch {
  public:
-  /// @param on_crash called with the requests of this node that were running on a server when it
-  /// crashed.
+  /// @param on_crash called with the requests of this node that were running on a server when the
+  /// server crashed.
   crash_watch(asio::io_context& context, crash_watch_dependencies dependencies,
               std::function<void(std::vector<crash>)> on_crash)
       : context_(context),
@@ -60,13 +60,13 @@
 
   bool is_examined(fingerprint const& request) const;
   awaitable<void> examine(directory::server server);
-  /// Probes a server until it has crashed, or until it can't be running any abandoned run any more.
+  /// Probes a server until it has crashed, or until it can no longer be running abandoned runs.
   awaitable<void> monitor_abandoned(directory::server server);
   /// Removes and returns the runs abandoned on this incarnation of a server.
   std::vector<crash> extract_abandoned(std::string const& incarnation);
   awaitable<server_condition> probe(directory::server server);
   bool has_open_connection(directory::server const& server, time_point made_before) const;
-  /// Keeps a run for a while, in case the directory shows that its server was restarted: the server
+  /// Keeps a run for a while, in case the directory shows that the server was restarted: the server
   /// accepted the probe, possibly after a restart, or could not be reached. Does nothing if an open
   /// connection proves that the server has not crashed.
   void mark_undecided(directory::server const& server, crash const& run);
--- a/src/quarantine/report_outbox.h
+++ b/src/quarantine/report_outbox.h
@@ -29,7 +29,7 @@
   static constexpr std::size_t k_max_report_size = 64;
 
   void add(crash event);
-  /// A server answered the request: its evidence is dropped.
+  /// Drops the evidence against a request that a server answered.
   void clear(fingerprint const& request);
 
   /// Drops evidence of crashes at `before` or earlier.
@@ -38,7 +38,7 @@
   /// Evidence that this collector has not acknowledged yet, oldest first, up to k_max_report_size.
   crash_report next_report(endpoint const& collector) const;
   bool has_pending(endpoint const& collector) const;
-  /// The collector acknowledged a report.
+  /// Notes that a collector acknowledged a report.
   /// @param incarnation of the collector's process. If it differs from the previous one, the
   /// collector was restarted and needs all evidence again.
   void note_reported(endpoint const& collector, std::string const& incarnation,
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -1,10 +1,10 @@
 /// @file Detects poison requests, which crash the servers that run them, and keeps them from
 /// reaching more servers.
 ///
-/// Each node records which of its requests were running on a server when it crashed, and reports
-/// them to the collectors, which are the relays of some zones. Once a request that was never
-/// answered has crashed three servers, a collector writes a record to the record store, which the
-/// relays distribute. Nodes that have received the record refuse the request, except for a few
+/// Each node records which of its requests were running on a server when the server crashed, and
+/// reports them to the collectors, which are the relays of some zones. Once a request that was
+/// never answered has crashed three servers, a collector writes a record to the record store, which
+/// the relays distribute. Nodes that have received the record refuse the request, except for a few
 /// trials. If a server answers the request on any node, that node removes the record.
 ///
 /// A node whose runs of a request have crashed two servers in sequence records a suspicion before
@@ -59,7 +59,7 @@
 
 /// Totals since the process began.
 struct quarantine_counters {
-  /// Requests of this node that were running on a server when it crashed.
+  /// Requests of this node that were running on a server when the server crashed.
   std::uint64_t crashes = 0;
   std::uint64_t refused = 0;
   std::uint64_t trials = 0;
@@ -107,18 +107,18 @@
   /// Waits for pending probes and then records a suspicion if it is still required. The write is
   /// tried once; the suspicion is withdrawn later unless it was confirmed.
   awaitable<void> record_before_next_run(fingerprint request);
-  /// The connection of a request to a server broke before the response was complete.
+  /// Notes that the connection of a request to a server broke before the response was complete.
   void note_broken(directory::server const& server, fingerprint const& request,
                    time_point sent_at) {
     crash_watch_.note_broken(server, request, sent_at);
   }
-  /// This node abandoned a run of the request while the server may still be working on it.
+  /// Notes that this node abandoned a run of the request that the server may still continue.
   void note_abandoned_run(directory::server const& server, fingerprint const& request,
                           time_point sent_at) {
     crash_watch_.note_abandoned_run(server, request, sent_at);
   }
   void note_servers_changed() { crash_watch_.note_directory_change(); }
-  /// A server answered the request.
+  /// Drops the evidence against a request that a server answered, and removes its record.
   void note_answer(fingerprint const& request);
 
   quarantine_counters const& counters() const { return counters_; }
@@ -132,7 +132,8 @@
   /// Returns true if the request has reached the crash threshold and no other request explains its
   /// crashes.
   bool is_proven(fingerprint const& request) const;
-  /// Returns true if this node is not a collector and some collector has all of its evidence.
+  /// Returns true if this node is not a collector and a collector has acknowledged all evidence of
+  /// this node.
   bool defers_to_collectors() const;
   /// Returns true if this node's own evidence is enough to refuse the request without a record.
   bool refuses_locally(fingerprint const& request, time_point now) const;
@@ -143,7 +144,7 @@
   awaitable<void> try_to_write(fingerprint request, bool is_suspicion);
   awaitable<void> revoke(fingerprint request);
   awaitable<void> withdraw_suspicion(fingerprint request);
-  /// Removes the record while the condition holds, and retries until that succeeds.
+  /// Removes the record of a request. Retries as long as the record exists and meets `condition`.
   /// @return true if this node removed it.
   awaitable<bool> remove_while(fingerprint request,
                                std::function<bool(quarantine_entry const&)> condition);
@@ -166,10 +167,10 @@
   void resolve_previous_evidence_if_due(time_point now);
   /// Quarantines requests whose stored evidence was written by processes that no longer run.
   awaitable<void> resolve_previous_evidence();
-  /// Returns true if the process that wrote the record answers a call; false if it does not in
-  /// time.
+  /// Returns true if the process that wrote the record answers a call in time.
   awaitable<bool> is_writer_alive(evidence_record const& record);
-  /// Removes records whose writers are gone; this node has taken over their evidence.
+  /// Removes evidence records whose writers no longer run, up to a limit. This node has taken over
+  /// their evidence.
   awaitable<void> remove_previous_records();
   void log_record(quarantine_entry const& entry) const;
   void start_revocation(fingerprint const& request);
