--- a/src/gateway/client_calls.cc
+++ b/src/gateway/client_calls.cc
@@ -10,7 +10,7 @@
 
 constexpr std::string_view k_part = "gateway";
 constexpr milliseconds k_default_deadline{10'000};
-/// Added to the wait that a list call asks for.
+/// Added to the wait that a list call asks for, to get the timeout of the call.
 constexpr milliseconds k_list_margin{1200};
 constexpr milliseconds k_end_deadline{3000};
 /// Share of the caller's waiting time that is reserved to deliver the answer, and its bounds. An
@@ -19,8 +19,7 @@
 constexpr int k_answer_reserve_divisor = 20;
 constexpr milliseconds k_min_answer_reserve{15};
 constexpr milliseconds k_max_answer_reserve{100};
-/// Returned as retry_after_ms before the first configuration, which usually arrives within a few
-/// such intervals.
+/// Returned as retry_after_ms for calls about jobs that arrive before the first configuration.
 constexpr milliseconds k_unconfigured_retry_delay{300};
 
 /// Returns how long an answer may take if the caller waits for `max_wait`.
@@ -142,7 +141,7 @@
   }
   request->call.tenant = tenant;
   request->call.record->tenant = tenant;
-  // Only the body of a submission is used; frees the rest of the message.
+  // Frees the message: the parsed job is all that is needed from here on.
   message = http::request();
   rpc::JobCallT submitted_call;
   submitted_call.action = rpc::JobAction::SUBMIT;
--- a/src/quarantine/crash_watch.cc
+++ b/src/quarantine/crash_watch.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr std::string_view k_part = "quarantine";
-/// An ending process closes its connections one by one and its listener among them, so an immediate
-/// probe could still succeed.
+/// Delay between a broken connection and the probe. A crashing process closes its sockets one by
+/// one, so its listener may still accept an immediate probe.
 constexpr milliseconds k_settle_time{20};
 /// How long a server may continue a run after its connection was closed.
 constexpr milliseconds k_max_abandoned_run_time{500};
@@ -159,7 +159,7 @@
     if (dependencies_.adopt_connection) dependencies_.adopt_connection(server, std::move(stream));
     co_return server_condition::alive;
   }
-  // Other failures, such as a network partition, do not show that the server has ended.
+  // Other failures, such as a network partition, do not show that the server has crashed.
   bool const refused = failure == asio::error::connection_refused;
   co_return refused ? server_condition::ended : server_condition::unknown;
 }
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -1,19 +1,19 @@
 /// @file Detects poison requests, which crash the servers that run them, and keeps them from
 /// reaching more servers.
 ///
-/// Each node records which of its requests were running on a server when it ended, and reports them
-/// to the collectors, which are the relays of some zones. Once a request that was never answered
-/// has ended three servers, a collector writes a record to the record store, which the relays
-/// distribute. Nodes that know the record refuse the request, except for a few trials. If a server
-/// answers the request on any node, that node removes the record.
+/// Each node records which of its requests were running on a server when the server crashed, and
+/// reports them to the collectors, which are the relays of some zones. Once a request that was
+/// never answered has crashed three servers, a collector writes a record to the record store, which
+/// the relays distribute. Nodes that have received the record refuse the request, except for a few
+/// trials. If a server answers the request on any node, that node removes the record.
 ///
-/// A node whose runs of a request have ended two servers in sequence records a suspicion before the
-/// third run, so that the evidence survives even if that run takes down all nodes. It withdraws the
-/// suspicion if the third run does not confirm it.
+/// A node whose runs of a request have crashed two servers in sequence records a suspicion before
+/// the third run, so that the evidence survives even if that run takes down all nodes. It withdraws
+/// the suspicion if the third run does not confirm it.
 ///
-/// Collectors also store evidence of requests that have ended two servers. If a starting node finds
-/// evidence whose writer no longer runs, the request is quarantined, because the nodes that knew of
-/// a third crash may be gone.
+/// Collectors also store evidence of requests that have crashed two servers. If the first collector
+/// found evidence at its start whose writer no longer runs, it quarantines the request, because
+/// nodes that saw a third crash may be gone.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
 
 namespace frostline::quarantine {
 
-/// References outlive the service.
+/// References must outlive the service.
 struct service_dependencies {
   asio::io_context& context;
   kv::record_store& store;
@@ -59,7 +59,7 @@
 
 /// Totals since the process began.
 struct quarantine_counters {
-  /// Requests of this node that were running on a server when it ended.
+  /// Requests of this node that were running on a server when the server crashed.
   std::uint64_t crashes = 0;
   std::uint64_t refused = 0;
   std::uint64_t trials = 0;
@@ -91,34 +91,34 @@
   /// threshold and its record is not in effect yet, or because evidence from previous nodes is
   /// being resolved.
   bool should_wait(fingerprint const& request, time_point now);
-  /// Time until a refused request may be tried again; nothing if it is unknown.
+  /// Time until a refused request may be tried again; nullopt if it is unknown.
   std::optional<milliseconds> time_until_retry(fingerprint const& request, time_point now) const;
   /// Claims a trial, which only one node may run. @return true if this node may run it.
   awaitable<bool> claim_trial(fingerprint request);
   /// Counts and logs a request that was refused after `check`.
   void note_refused(fingerprint const& request);
-  /// Number of servers that this node has seen end while running the request.
+  /// Number of servers that this node has seen crash while running the request.
   std::size_t crashes_seen(fingerprint const& request) const;
 
-  /// Returns true if a suspicion must be recorded before the request runs here again: it has ended
-  /// two servers in sequence, and only this node knows. If the next run took down all nodes, the
-  /// evidence would be lost.
+  /// Returns true if a suspicion must be recorded before the request runs here again: it has
+  /// crashed two servers in sequence in runs of this node, and there is no record of it. If the
+  /// next run took down all nodes, the evidence would be lost.
   bool must_be_recorded(fingerprint const& request) const;
   /// Waits for pending probes and then records a suspicion if it is still required. The write is
   /// tried once; the suspicion is withdrawn later unless it was confirmed.
   awaitable<void> record_before_next_run(fingerprint request);
-  /// The connection of a request to a server broke before the response was complete.
+  /// Notes that the connection of a request to a server broke before the response was complete.
   void note_broken(directory::server const& server, fingerprint const& request,
                    time_point sent_at) {
     crash_watch_.note_broken(server, request, sent_at);
   }
-  /// This node abandoned a run of the request while the server may still be working on it.
+  /// Notes that this node abandoned a run of the request that the server may still continue.
   void note_abandoned_run(directory::server const& server, fingerprint const& request,
                           time_point sent_at) {
     crash_watch_.note_abandoned_run(server, request, sent_at);
   }
   void note_servers_changed() { crash_watch_.note_directory_change(); }
-  /// A server answered the request.
+  /// Drops the evidence against a request that a server answered, and removes its record.
   void note_answer(fingerprint const& request);
 
   quarantine_counters const& counters() const { return counters_; }
@@ -132,7 +132,8 @@
   /// Returns true if the request has reached the crash threshold and no other request explains its
   /// crashes.
   bool is_proven(fingerprint const& request) const;
-  /// Returns true if this node is not a collector and some collector has all of its evidence.
+  /// Returns true if this node is not a collector and a collector has acknowledged all evidence of
+  /// this node.
   bool defers_to_collectors() const;
   /// Returns true if this node's own evidence is enough to refuse the request without a record.
   bool refuses_locally(fingerprint const& request, time_point now) const;
@@ -143,7 +144,7 @@
   awaitable<void> try_to_write(fingerprint request, bool is_suspicion);
   awaitable<void> revoke(fingerprint request);
   awaitable<void> withdraw_suspicion(fingerprint request);
-  /// Removes the record while the condition holds, and retries until that succeeds.
+  /// Removes the record of a request. Retries as long as the record exists and meets `condition`.
   /// @return true if this node removed it.
   awaitable<bool> remove_while(fingerprint request,
                                std::function<bool(quarantine_entry const&)> condition);
@@ -166,9 +167,10 @@
   void resolve_previous_evidence_if_due(time_point now);
   /// Quarantines requests whose stored evidence was written by processes that no longer run.
   awaitable<void> resolve_previous_evidence();
-  /// Returns true if the process that wrote the record is still running.
+  /// Returns true if the process that wrote the record answers a call in time.
   awaitable<bool> is_writer_alive(evidence_record const& record);
-  /// Removes records whose writers are gone; this node has taken over their evidence.
+  /// Removes evidence records whose writers no longer run, up to a limit. This node has taken over
+  /// their evidence.
   awaitable<void> remove_previous_records();
   void log_record(quarantine_entry const& entry) const;
   void start_revocation(fingerprint const& request);
@@ -194,7 +196,7 @@
   };
   /// Evidence found in the store at startup, until it is resolved.
   std::vector<previous_record> previous_records_;
-  /// Requests in that evidence, and until when their runs wait for it to be resolved.
+  /// Requests in `previous_records_`, and until when their runs wait for it to be resolved.
   std::set<fingerprint> unresolved_;
   time_point unresolved_until_ = time_point::min();
   bool resolving_ = false;
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -18,7 +18,7 @@
 
 namespace frostline::usage {
 
-/// References outlive the reporter.
+/// References must outlive the reporter.
 struct reporter_dependencies {
   asio::io_context& context;
   kv::record_store& store;
@@ -47,11 +47,12 @@
   explicit usage_reporter(reporter_dependencies dependencies);
 
   void start();
-  /// Handles the counts sent by a node, which may be this one. Not taken unless this node is the
+  /// Adds the counts sent by a node, which may be this one. Ignores them unless this node is the
   /// active holder.
   rpc::UsageReplyT count(rpc::UsageCallT call);
   /// Sends the remaining counts to the holder and, if this node is the holder, stores its state
-  /// before the lease is handed over. Returns by `deadline`.
+  /// before the lease is released. Waits for calls and writes in progress until `deadline`; the
+  /// last call and write may end later.
   awaitable<void> finish(time_point deadline);
 
   holder_state state() const { return state_; }
@@ -63,7 +64,7 @@
  private:
   awaitable<void> send_loop();
   bool is_send_due(time_point now) const;
-  /// Sends new counts to the holder, if there is one.
+  /// Sends counts that the holder has not acknowledged, if there is a holder.
   awaitable<void> send_counts(milliseconds timeout);
   awaitable<void> holder_loop();
   awaitable<void> load();
