--- a/src/bulk/store.h
+++ b/src/bulk/store.h
@@ -1,5 +1,5 @@
 /// @file SQLite database in a node's data folder that stores submitted groups and finished samples.
-/// A torn write is rolled back when the database is opened.
+/// An incomplete transaction is rolled back when the database is opened.
 #pragma once
 
 #include <memory>
@@ -21,7 +21,7 @@
   store& operator=(store const&) = delete;
 
   /// Applies the whole request in one transaction: inserts, then deletions below `forget_below`.
-  /// @return number of groups and samples stored.
+  /// @return number of groups and samples in the request.
   result<std::uint32_t> put(rpc::StoreBulkRequestT const& request);
   /// Loads all groups and samples of a shard.
   result<rpc::LoadBulkResponseT> load(std::string const& task, std::uint32_t shard);
--- a/src/config/store.cc
+++ b/src/config/store.cc
@@ -8,8 +8,8 @@
 namespace frostline::config {
 namespace {
 
-/// Updates a typed view if the entry's key starts with its prefix.
-/// @return nullopt if it does not, false if the value can't be decoded.
+/// Updates a typed view if the entry's key starts with `prefix`.
+/// @return nullopt if the key does not start with `prefix`, false if the value can't be decoded.
 template <class Record>
 std::optional<bool> update(std::map<std::string, versioned<Record>>& view, std::string_view prefix,
                            entry const& incoming) {
--- a/src/config/store.h
+++ b/src/config/store.h
@@ -35,14 +35,15 @@
 class store {
  public:
   apply_result apply(entry const& incoming);
-  /// Replaces the content with a snapshot of the whole prefix; keys that it lacks are deleted.
-  /// @return false if the snapshot is older than the highest known revision; it is then ignored.
+  /// Replaces the content with a snapshot of the whole prefix; keys absent from the snapshot are
+  /// deleted.
+  /// @return false if the snapshot is older than `highest_known()` and was ignored.
   bool apply_snapshot(kv::range_answer const& snapshot);
 
   /// Records that the store contains all changes up to this revision.
   void advance(kv::revision complete_to);
   kv::revision revision() const { return revision_; }
-  /// Records that a peer has `revision`, so that older snapshots are detected as stale.
+  /// Records a revision reported by a peer, so that older snapshots are detected as stale.
   void note_peer_revision(kv::revision revision);
   kv::revision highest_known() const { return highest_known_; }
   /// Returns true once a full copy was received from the key-value service or a peer.
--- a/src/config/sync.h
+++ b/src/config/sync.h
@@ -24,7 +24,8 @@
   /// Applies an entry that is known to be committed in the key-value service, without waiting for
   /// the watch.
   void apply_committed(entry const& written);
-  /// Handles a peer's FetchConfig request. The response is empty if the store is not complete.
+  /// Returns the entries that are newer than the revision in a peer's FetchConfig request. The
+  /// response is empty if the store is not complete.
   rpc::FetchConfigResponseT handle_fetch(rpc::FetchConfigRequestT const& request) const;
   /// Returns the time since the key-value service last replied to this node or, according to
   /// gossip, to another node.
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -324,7 +324,8 @@
 }
 
 /// Planned stop: announces that the node is leaving, releases ownership, waits for requests and
-/// runs in flight, and then closes connections.
+/// runs in flight, and closes the listener and idle connections. Runs that are still in flight
+/// shortly before the end of the drain time are interrupted.
 awaitable<void> node::components::stop(std::function<void()> on_stopped) {
   if (state_ == node_state::draining) co_return;
   state_ = node_state::draining;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -24,7 +24,7 @@
   std::uint64_t config_revision = 0;
   std::uint64_t members_alive = 0;
   std::uint64_t engines_controlled = 0;
-  /// Controlled engines that have loaded all versions published for them, at least one.
+  /// Controlled engines in state `ready` that have loaded at least one version.
   std::uint64_t engines_ready = 0;
   node_state state = node_state::starting;
 };
--- a/src/operators/service.cc
+++ b/src/operators/service.cc
@@ -58,7 +58,8 @@
   return found == view.end() ? 0 : found->second.revision;
 }
 
-/// Returns the revision that the caller expects, or `known_revision` if the caller gave none.
+/// Returns the revision that the caller expects, or `known_revision` if `requested` is negative,
+/// which means that the caller gave none.
 kv::revision expected_revision(std::int64_t requested, kv::revision known_revision) {
   return requested < 0 ? known_revision : static_cast<kv::revision>(requested);
 }
@@ -142,8 +143,8 @@
   auto reply = co_await try_publish(request);
   for (std::uint32_t retry = 0; retry < k_publish_retries; ++retry) {
     bool const conflict = reply && reply.value().outcome == rpc::ChangeOutcome::CONFLICT;
-    // The conflict has updated the local copy. If the published version is still older than the
-    // requested one, the publication can be retried.
+    // try_publish() has updated the local copy on a conflict. If the published version is still
+    // older than the requested one, the publication can be retried.
     bool const was_behind = store_.published_version(request.task) < request.version;
     if (!conflict || !was_behind) break;
     reply = co_await try_publish(request);
@@ -230,7 +231,8 @@
   return make_change(rpc::ChangeOutcome::CONFLICT, conflicting_revision, {});
 }
 
-/// Determines the outcome of a write whose reply was lost, by its token in the stored value.
+/// Determines the outcome of a write whose reply was lost by looking for the token of the write in
+/// the stored value. Without a match the outcome remains unknown.
 awaitable<service::change_reply> service::resolve_outcome(change pending) {
   for (int attempt = 0; attempt < k_read_back_attempts; ++attempt) {
     auto read = co_await kv_.range(pending.key);
--- a/src/operators/service.h
+++ b/src/operators/service.h
@@ -15,9 +15,12 @@
 
 namespace frostline::operators {
 
-/// Validate a record sent by an operator. Return an error message, or an empty string if it is
-/// valid.
+/// Validates a task record sent by an operator.
+/// @param existing stored record of the same task, or null if the task is new.
+/// @return an error message; empty if the record is valid.
 std::string check_task(rpc::TaskRecordT const& task, rpc::TaskRecordT const* existing);
+/// Validates a route record sent by an operator.
+/// @return an error message; empty if the record is valid.
 std::string check_route(rpc::RouteRecordT const& route);
 
 class service {
@@ -39,6 +42,7 @@
     std::string key;
     std::string value;
     std::string token;
+    /// 0 if the key must not exist.
     kv::revision expected = 0;
   };
 
--- a/src/rollout/placement.cc
+++ b/src/rollout/placement.cc
@@ -7,7 +7,8 @@
 namespace frostline::rollout {
 namespace {
 
-/// Share of used slots from which load takes precedence over prefix affinity.
+/// Utilization (share of slots in use) from which the preferred engine is not used and the least
+/// utilized engine is chosen instead.
 constexpr double k_affinity_load_limit = 0.75;
 
 double load_of(engine_view const& engine) {
@@ -46,8 +47,8 @@
   std::mt19937_64 random_;
 };
 
-/// Chooses an engine by rendezvous hashing of the group, or the least loaded engine if that one is
-/// busy.
+/// Chooses an engine by rendezvous hashing of the group, or the least loaded engine if the
+/// utilization of the hashed engine has reached `k_affinity_load_limit`.
 class prefix_affinity final : public placement_policy {
  public:
   explicit prefix_affinity(std::uint64_t seed) : fallback_(seed) {}
--- a/src/rollout/placement.h
+++ b/src/rollout/placement.h
@@ -19,6 +19,7 @@
   /// Address of the node that controls the engine.
   std::string controller;
   std::string zone;
+  /// Number of samples that the engine generates concurrently; 0 if it must not be used.
   std::uint32_t slots = 0;
   /// Samples of this shard that run on the engine.
   std::uint32_t in_flight = 0;
@@ -28,8 +29,10 @@
 
 /// Properties of a sample that a policy may use.
 struct placement_request {
-  /// Samples of a group have the same prompt and benefit from an engine's prefix cache.
+  /// Group of the sample. Samples of a group have the same prompt, so an engine that has cached it
+  /// saves the prefill.
   std::uint64_t group = 0;
+  /// Zone of the shard's owner.
   std::string zone;
 };
 
--- a/src/rollout/sample_table.cc
+++ b/src/rollout/sample_table.cc
@@ -88,12 +88,12 @@
   auto const found = entries_.find(sample.key);
   if (found == entries_.end()) return false;
   entry& sample_entry = found->second;
-  // A sample restored during recovery was not run by this owner and is still queued.
-  bool const recovered = sample_entry.state == sample_state::queued;
+  // A queued sample gets a result from recovery, or from the late reply of a run that was given up.
+  bool const is_queued = sample_entry.state == sample_state::queued;
   bool const current =
       sample_entry.state == sample_state::running && sample_entry.attempt == sample.attempt;
-  if (!recovered && !current) return false;
-  if (recovered) {
+  if (!is_queued && !current) return false;
+  if (is_queued) {
     --counts_.queued;
   } else {
     --counts_.running;
--- a/src/rollout/sample_table.h
+++ b/src/rollout/sample_table.h
@@ -27,7 +27,7 @@
   bool operator==(sample_group const&) const = default;
 };
 
-/// A sample that has been generated and scored.
+/// Result of a sample: its text, spans and score, or a failure.
 struct finished_sample {
   sample_key key;
   std::string attempt;
@@ -86,8 +86,8 @@
   /// Returns when the next delayed sample becomes ready, or time_point::max() if none is delayed.
   time_point next_due() const;
 
-  /// Records a finished sample. @return false if the sample is neither queued nor running as this
-  /// attempt; the result is then ignored.
+  /// Records a finished sample. @return false if the sample is neither queued nor running as
+  /// `sample.attempt`; the result is then ignored.
   bool finish(finished_sample sample);
   /// Queues the sample of a failed run again. The next run starts at `not_before` or later and
   /// resumes from `resume` unless that is empty.
@@ -96,7 +96,8 @@
   /// Queues a sample again from the start, because its tokens exceed the freshness bound.
   void restart(sample_key key, std::string const& attempt);
 
-  /// Queues finished samples that exceed the freshness bound again. @return number of samples.
+  /// Queues finished samples that exceed the freshness bound again, except failed ones.
+  /// @return number of samples queued.
   std::size_t drop_stale(std::uint64_t published, std::uint32_t bound);
   /// Returns up to `limit` finished samples in the order in which they finished.
   std::vector<finished_sample const*> finished(std::size_t limit) const;
@@ -111,7 +112,7 @@
   void withdraw(std::vector<sample_key> const& keys);
   /// Drops the content of samples that the trainer has acknowledged as durable.
   void forget_content(std::vector<sample_key> const& keys);
-  /// Removes all groups below `watermark`, which are fully delivered.
+  /// Removes all groups with numbers below `watermark`; all their samples must be delivered.
   void forget_below(std::uint64_t watermark);
 
   table_counts const& counts() const { return counts_; }
--- a/src/rollout/service.h
+++ b/src/rollout/service.h
@@ -26,8 +26,8 @@
   std::vector<ownership::resource> list_resources() const;
   /// Starts and stops shard owners and engine controllers to match what this node owns.
   void reconcile();
-  /// Stops all owners. Runs in flight on controlled engines continue; `runs_in_flight` returns how
-  /// many are left.
+  /// Stops all shard owners. Runs in flight on engines that this node controls continue;
+  /// `runs_in_flight` returns their number.
   void stop_owners();
   std::size_t runs_in_flight() const;
   /// Interrupts the remaining runs, so that the shards' owners can resume them elsewhere.
--- a/src/rollout/shard_batches.cc
+++ b/src/rollout/shard_batches.cc
@@ -14,7 +14,7 @@
 constexpr std::uint32_t k_max_wait_ms = 30'000;
 constexpr std::uint32_t k_empty_retry_after_ms = 100;
 constexpr milliseconds k_retry_backoff{20};
-/// Interval at which a waiting pull checks the state without a notification.
+/// Maximum time between two checks of the state by a waiting pull that is not notified.
 constexpr milliseconds k_pull_poll_interval{50};
 constexpr milliseconds k_owner_retry_after{500};
 constexpr milliseconds k_kv_retry_after{1000};
@@ -33,7 +33,8 @@
   return {http::status::conflict, why, std::move(detail), rpc::run_state::not_run, milliseconds(0)};
 }
 
-/// Sets the `committing_` flag for its own lifetime and notifies waiters when it ends.
+/// Sets the `committing_` flag while the guard exists. Its destructor clears the flag and notifies
+/// waiters.
 class commit_guard {
  public:
   commit_guard(bool& flag, async_condition& changed) : flag_(flag), changed_(changed) {
@@ -152,8 +153,9 @@
   co_return co_await commit(std::move(record), {});
 }
 
-/// Delivers the last batch again, unchanged if all its samples are within the freshness bound and
-/// their content is available; otherwise commits a replacement.
+/// Delivers the last batch again. It is unchanged if the content of all its samples is available
+/// and all samples that did not fail are within the freshness bound; otherwise a replacement is
+/// committed.
 awaitable<std::optional<shard_owner::pull_reply>> shard_owner::redeliver_batch() {
   commit_guard guard(committing_, changed_);
   std::vector<delivery::manifest_entry> kept;
@@ -198,7 +200,8 @@
   co_return make_batch(answer.revision);
 }
 
-/// Drops the data of the last batch, which the trainer has acknowledged as durable.
+/// Drops the content of the last batch's samples, which the trainer has acknowledged as durable,
+/// and all groups below the delivery watermark.
 void shard_owner::acknowledge_last_batch() {
   std::vector<sample_key> keys;
   for (auto const& entry : ledger_.manifest()) keys.push_back(entry.key);
@@ -240,8 +243,8 @@
   return pull_reply(no_kv());
 }
 
-/// Confirms that this node still owns the shard with a current record before it refuses a pull,
-/// because a refusal is final.
+/// Refuses a pull after it has confirmed that this node still owns the shard and that its copy of
+/// the delivery record is current, because a refusal is final.
 awaitable<std::optional<shard_owner::pull_reply>> shard_owner::refuse_after_confirm(
     rpc::problem refusal) {
   commit_guard guard(committing_, changed_);
--- a/src/rollout/shard_owner.h
+++ b/src/rollout/shard_owner.h
@@ -31,13 +31,15 @@
   /// Wakes the owner after a change of the configuration or the machine list.
   void on_change();
 
-  /// Accepts groups of this shard. Replies after the configured number of replicas has stored them.
+  /// Queues groups of this shard after the configured number of replicas has stored them. Groups
+  /// that were submitted before are only counted.
   awaitable<rpc::reply<rpc::SubmitGroupsResponseT>> submit(rpc::SubmitGroupsRequestT request);
   awaitable<rpc::reply<rpc::PullBatchResponseT>> pull(rpc::PullBatchRequestT request);
 
   rpc::ShardStatusT status() const;
   kv::revision epoch() const { return epoch_; }
-  /// Returns true while a pull or a submit is in flight; a planned stop waits for them.
+  /// Returns true while a pull is in flight or submitted groups are being stored; a planned stop
+  /// waits for both.
   bool is_busy() const { return requests_in_flight_ > 0; }
 
  private:
--- a/src/rollout/shard_runs.cc
+++ b/src/rollout/shard_runs.cc
@@ -74,7 +74,8 @@
   }
 }
 
-/// Queues runs again whose controller node is dead. Late replies of those runs are ignored.
+/// Queues samples again that run on an engine whose controller node is dead according to gossip.
+/// A late result is accepted only until the sample runs again.
 void shard_owner::abandon_lost_runs() {
   std::vector<std::string> lost;
   for (auto const& [attempt, run] : runs_) {
@@ -185,8 +186,8 @@
   table_.interrupt(work.key, work.attempt, retry_at, std::move(partial));
 }
 
-/// Scores and stores a sample, with retries until both succeed or the sample exceeds the freshness
-/// bound. The sample counts as running until then.
+/// Scores and stores a sample, with retries until both succeed, the sample exceeds the freshness
+/// bound or the owner stops. The sample counts as running until then.
 awaitable<void> shard_owner::complete_sample(finished_sample sample) {
   while (!is_stopped()) {
     if (!sample.failed &&
