--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -1,5 +1,5 @@
 /// @file Model of an inference engine: continuous batching, prefix cache, versions, fenced orders.
-/// Without I/O or clock: the server calls `step`.
+/// No I/O; reads no clock: the server calls `step`.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +36,8 @@
   bool finished = false;
 };
 
-/// LRU cache of prompts, bounded by their total size in tokens.
+/// LRU cache of prompts, bounded by their total size in tokens. The most recently used prompt stays
+/// cached even if it is larger than the capacity.
 class prefix_cache {
  public:
   explicit prefix_cache(std::uint32_t capacity_tokens) : capacity_(capacity_tokens) {}
@@ -62,14 +63,17 @@
   engine_model(std::uint32_t slots, std::uint32_t cache_tokens, std::uint64_t seed)
       : slots_(slots), cache_(cache_tokens), seed_(seed) {}
 
-  /// Queues a sample by priority. @return false if the queue is full.
+  /// Queues a sample: higher priorities first, equal ones in order of arrival.
+  /// @return false if the queue is full.
   bool submit(generation_request request);
   /// @return false if the sample is unknown.
   bool cancel(std::string const& id);
-  /// Generates one token for each running sample.
+  /// Moves waiting samples to free slots and generates one token for each running sample that has
+  /// completed its prefill.
   std::vector<generated_tokens> step();
 
-  /// Checks an order's epoch; an accepted one raises the engine's epoch.
+  /// Checks a load order. The epoch of an accepted order becomes the engine's epoch.
+  /// @return conflicting_content if the order has the engine's epoch but an older version.
   order_result check_order(std::uint64_t epoch, std::string const& model, std::uint64_t version);
   void set_version(std::string const& model, std::uint64_t version) { versions_[model] = version; }
 
@@ -99,8 +103,8 @@
   std::list<running_sample> running_;
 };
 
-/// Returns the length of a sample in tokens: Pareto-distributed, and the same on every engine with
-/// the same seed.
+/// Returns the length of a sample in tokens: Pareto-distributed, `max_tokens` at most, and the same
+/// on every engine with the same seed.
 std::uint32_t sample_length(std::string const& prompt, std::uint32_t sample_index,
                             std::uint32_t max_tokens, std::uint64_t seed);
 
--- a/src/standin/engine_server.cc
+++ b/src/standin/engine_server.cc
@@ -24,7 +24,8 @@
 /// Generated tokens that a stream has not sent yet.
 struct open_stream {
   explicit open_stream(asio::io_context& context) : changed(context) {}
-  /// Returns true if an event can be sent: it is full, the version changed, or the sample ended.
+  /// Returns true if an event can be sent: it has `interval` tokens, the version changed, or the
+  /// sample ended.
   bool is_due() const {
     if (pending.empty()) return false;
     bool const complete = pending.front().finished || pending.front().tokens >= interval;
--- a/src/standin/kv_server.cc
+++ b/src/standin/kv_server.cc
@@ -22,7 +22,7 @@
   time_point outage_until = time_point::min();
   std::int64_t lose_answers = 0;
   std::int64_t delay_ms = 0;
-  /// Transactions that write below this prefix are slow.
+  /// Transactions that write below this prefix are slow; empty selects all.
   std::string slow_prefix;
   /// Delay before slow transactions take effect.
   std::int64_t slow_ms = 0;
@@ -30,7 +30,7 @@
   std::int64_t late_answer_ms = 0;
   /// Watches deliver no events before this time.
   time_point watches_paused_until = time_point::min();
-  /// Reads are served as of this revision; 0 disables the fault.
+  /// Range reads are served as of this revision; 0 disables the fault.
   kv::revision stale_revision = 0;
 };
 
--- a/src/standin/options.h
+++ b/src/standin/options.h
@@ -15,13 +15,13 @@
   std::uint64_t seed = 1;
   /// engine: samples generated concurrently; app: requests served concurrently.
   std::uint32_t slots = 16;
-  /// engine: duration of a generation step without load, in microseconds.
+  /// engine: duration of a generation step without running samples, in microseconds.
   std::uint32_t step_us = 2000;
   /// engine: increase of the step duration per running sample, in microseconds.
   std::uint32_t step_us_per_sample = 50;
   /// engine: time to activate fetched weights.
   std::uint32_t load_ms = 200;
-  /// engine: age of its load reports.
+  /// engine: minimum age of a returned load report.
   std::uint32_t report_lag_ms = 200;
   /// engine: interval of load reports.
   std::uint32_t report_interval_ms = 50;
--- a/src/standin/service.h
+++ b/src/standin/service.h
@@ -12,7 +12,7 @@
 
 namespace frostline::standin {
 
-/// Token bucket that holds the tokens of one second at most.
+/// Token bucket that holds the tokens of one second at most. A rate of 0 means no limit.
 class rate_limiter {
  public:
   explicit rate_limiter(std::uint32_t per_second) : per_second_(per_second), tokens_(per_second) {}
