--- a/rehearsal/measure_overload.cc
+++ b/rehearsal/measure_overload.cc
@@ -17,7 +17,7 @@
 constexpr std::uint32_t k_apps = 2;
 constexpr std::uint32_t k_app_slots = 8;
 constexpr std::uint32_t k_service_ms = 20;
-/// Calls per second of both servers: 2 x 8 slots / 20 ms.
+/// Calls per second that both application servers together can handle.
 constexpr double k_capacity = 800;
 constexpr int k_base_seconds = 14;
 constexpr int k_spike_seconds = 4;
--- a/rehearsal/measure_policies.cc
+++ b/rehearsal/measure_policies.cc
@@ -179,7 +179,7 @@
         {"Saurashtra Tide", 8, 512}, {"Sen Vang", 9, 512}, {"letter 1", 600, 4096}};
     for (auto const& [name, variants] : experiments()) {
       for (deployment const& simulated : deployments) {
-        // Rolling 600 engines one by one takes longer than a version is current.
+        // Loading a version on 600 engines one by one takes longer than the version is current.
         if (simulated.engines > k_max_engines_for_all_experiments && name != "placement") continue;
         for (int index = 2; index < argc; ++index) {
           auto const step_ms = static_cast<std::uint32_t>(std::stoul(argv[index]));
--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -42,7 +42,8 @@
 
 constexpr std::uint32_t k_events_per_sample = 5;
 constexpr std::size_t k_samples_per_job = 12;
-/// Below jobs.retention_seconds: until then a fully read job must still be listed.
+/// Time after its acceptance for which a fully read job must still be listed. Must be below
+/// jobs.retention_seconds.
 constexpr milliseconds k_min_job_retention{100'000};
 /// Reads of one job, 0.1 s apart, before the next job is submitted.
 constexpr int k_max_reads_under_faults = 12;
@@ -65,7 +66,8 @@
 constexpr milliseconds k_acceptance_timeout{1500};
 constexpr milliseconds k_recovery_timeout{12'000};
 constexpr milliseconds k_recovery_call_timeout{5000};
-/// Time after the last fault in which all nodes receive all changes.
+/// Time after the last fault or after a change within which all nodes must have received all
+/// changes.
 constexpr milliseconds k_propagation_time{3000};
 /// Long enough that some calls are in flight when an application server crashes.
 constexpr milliseconds k_call_service_time{8};
@@ -171,7 +173,7 @@
     return false;
   }
 
-  /// Checks that requests which crashed three servers reach few more after the last fault.
+  /// Checks that requests which crashed three servers crash few more after the last fault.
   void check_poison_requests() {
     time_point const propagated_by = boot_clock::now() + k_propagation_time;
     while (boot_clock::now() < propagated_by) all_nodes_serve();
--- a/rehearsal/poison_requests.cc
+++ b/rehearsal/poison_requests.cc
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr char k_crash_text[] = "deadly";
-/// Short enough that some attempts meet restarted servers.
+/// Interval between two requests, short enough that some reach a restarted server.
 constexpr milliseconds k_send_interval{40};
 constexpr std::size_t k_crashes_allowed = 3;
 constexpr std::ptrdiff_t k_retries_allowed = 3;
 constexpr std::size_t k_sends_per_node = 3;
 /// Attempts to submit a job while faults are active.
 constexpr std::size_t k_submit_attempts = 5;
-/// Within this time after the third crash, all nodes know that the request is poisonous.
+/// Time after the third crash within which all nodes must have quarantined the request.
 constexpr milliseconds k_propagation_time{3000};
 /// Long enough for about ten retries of a sample that is not quarantined.
 constexpr milliseconds k_observation_time{4000};
--- a/src/load/callers.h
+++ b/src/load/callers.h
@@ -1,5 +1,6 @@
-/// @file Open-loop load of ordinary calls over keep-alive connections. Calls that fail are retried
-/// through another node, including those that must not run twice.
+/// @file Open-loop load of ordinary calls over keep-alive connections. Failed calls,
+/// including those that must not run twice, are retried through the next node, except after a
+/// response with status 409.
 #pragma once
 
 #include <cstdint>
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -1,5 +1,6 @@
-/// @file Checks a run's properties by the journals of trainers, engines, application servers,
-/// callers, operators and the key-value stand-in, independently of frostline's own counters.
+/// @file Checks the properties of a run against the journals of trainers, engines, application
+/// servers, callers, operators and the key-value stand-in, independently of frostline's own
+/// counters.
 #pragma once
 
 #include <boost/json.hpp>
@@ -30,7 +31,8 @@
   double caller_p99_ms = 0;
   bool trainers_finished = true;
 
-  /// Returns true if every property holds.
+  /// Returns true if no violation was counted and all trainers finished. Unscored samples and
+  /// samples that span versions are not violations.
   bool is_good() const;
   boost::json::object to_json() const;
 };
@@ -38,7 +40,8 @@
 struct check_options {
   /// Folder with the journals (*.jsonl).
   std::string folder;
-  /// Time after which a leaving backend must not receive new requests.
+  /// Milliseconds from the `leaving` event of an engine or application server after which each
+  /// request that it receives counts in `sent_after_leaving`.
   std::uint64_t leaving_limit_ms = 3000;
 };
 
--- a/src/load/emulation.h
+++ b/src/load/emulation.h
@@ -20,7 +20,7 @@
   /// Number in the name of the first node or engine.
   std::uint32_t first = 0;
   std::string zone;
-  /// Zones that engines are spread over.
+  /// Number of zones over which the engines are spread.
   std::uint32_t zones = 1;
   /// Parent of the disk nodes' data folders; empty for none.
   std::string data_folder;
--- a/src/load/simulator.h
+++ b/src/load/simulator.h
@@ -17,8 +17,9 @@
 struct simulation_options {
   std::uint32_t engines = 8;
   std::uint32_t slots = 16;
-  /// Duration of a generation step without load, and its increase per running sample.
+  /// Duration of a generation step without running samples.
   std::chrono::microseconds step{20'000};
+  /// Increase of the step duration per running sample.
   std::chrono::microseconds step_per_sample{200};
   /// Time for which an engine pauses to load new weights.
   milliseconds load_time{2000};
--- a/src/load/trainer.h
+++ b/src/load/trainer.h
@@ -29,7 +29,8 @@
   std::uint32_t steps_ahead = 1;
   std::string journal_path;
   std::uint64_t seed = 1;
-  /// No further step is started once this file exists; empty for none.
+  /// Once this file exists, no further step is submitted; submitted steps are still trained. Empty
+  /// for none.
   std::string stop_file;
   /// Time limit of the whole run.
   milliseconds timeout{120'000};
--- a/tests/platform_standin/duty_standin.h
+++ b/tests/platform_standin/duty_standin.h
@@ -39,7 +39,8 @@
   /// Returns all accepted calls in order of arrival.
   std::vector<duty_call> const& calls() const { return calls_; }
   /// Returns one text for each violation: reports of the same window that differ, a fence that
-  /// decreases or is shared by two holders, or holders that alternate within `holder_gap`.
+  /// decreases or is shared by two holders, or a call of a holder less than `holder_gap` after its
+  /// previous call although another holder called in the meantime.
   std::vector<std::string> violations(milliseconds holder_gap) const;
   /// Returns the number of requests reported for a tenant, counting each window once.
   std::uint64_t reported(std::string const& tenant) const;
--- a/tests/platform_standin/server_standin.h
+++ b/tests/platform_standin/server_standin.h
@@ -22,7 +22,7 @@
   std::string expected_instance;
   std::string last_event;
   std::string deadline;
-  /// All values of the header, joined by commas.
+  /// All values of the tenant header, joined by commas.
   std::string tenant;
   std::string authorization;
   time_point at{};
@@ -47,7 +47,7 @@
   bool silent = false;
   /// Number of requests to answer with 500.
   std::uint32_t failures = 0;
-  /// Number of events after which a stream of `breaks` is cut.
+  /// Number of events after which a stream counted in `breaks` is cut.
   std::uint32_t break_after = 0;
   /// Number of streams to cut.
   std::uint32_t breaks = 0;
@@ -60,7 +60,7 @@
   /// Requests whose body contains this text crash the server that starts to run them; empty for
   /// none.
   std::string crash_text;
-  /// Time from the start of such a run to the crash.
+  /// Time from the start of a request that crashes the server to the crash.
   milliseconds crash_after{20};
   /// Time from a crash to the restart.
   milliseconds down_time{300};
--- a/tests/platform_standin/soak_checker.h
+++ b/tests/platform_standin/soak_checker.h
@@ -1,5 +1,5 @@
-/// @file Checks the gateway's guarantees against what callers, trainers and servers observed. Does
-/// no I/O.
+/// @file Checks the gateway's guarantees against what callers, trainers and servers observed. No
+/// I/O.
 #pragma once
 
 #include <boost/json.hpp>
@@ -74,7 +74,7 @@
   std::size_t samples = 0;
   std::size_t positions = 0;
   std::size_t orders = 0;
-  /// Requests at servers whose tenant was checked.
+  /// Requests that reached servers and whose tenant was checked.
   std::size_t tenants = 0;
 };
 
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -21,7 +21,7 @@
   std::uint32_t nodes = 3;
   std::uint32_t engines = 2;
   std::uint32_t apps = 2;
-  /// Number of nodes with a data folder, counted from node 0.
+  /// Nodes with an index below this number have a data folder.
   std::uint32_t disk_nodes = 3;
   std::uint32_t slots = 16;
   std::uint32_t step_us = 1000;
@@ -65,11 +65,13 @@
   /// Sets the state and incarnation of a machine in the machine list.
   void list_machine(std::string const& id, std::string const& state, std::uint64_t incarnation);
   /// Changes the address of a machine in the machine list, for example to that of a fault proxy.
+  /// The machine is listed as live with incarnation 1.
   void relocate(std::string const& id, endpoint const& address);
   /// Returns the log of a process so far.
   std::string process_log(std::string const& name) const;
   void set_faults(endpoint const& standin, boost::json::object faults);
-  /// Waits until the key-value service has received a write that its faults delay.
+  /// Waits until the injected faults have delayed a write to the key-value service, or its answer,
+  /// at least once since the service started.
   void wait_for_delayed_write(std::string const& what);
   /// Records in the journals, for the checker, that a back end is being removed.
   void record_removal(std::string const& back_end);
--- a/tests/support/cut_off_store.h
+++ b/tests/support/cut_off_store.h
@@ -9,9 +9,11 @@
  public:
   explicit cut_off_store(kv::record_store& store) : store_(store) {}
 
-  /// While set, calls fail as unavailable, including those in flight.
+  /// While set, all calls except those for leases fail as `unavailable`. Lists and watches in
+  /// flight fail when the store answers them.
   void set_cut(bool cut) { cut_ = cut; }
-  /// While set, watches time out without an answer, including those in flight; other calls succeed.
+  /// While set, watches time out without an answer, including those in flight; other calls are not
+  /// affected.
   void set_watches_silent(bool silent) { watches_silent_ = silent; }
   std::uint64_t lists() const { return lists_; }
   /// Number of list calls for the prefix "servers/".
--- a/tests/support/memory_record_store.cc
+++ b/tests/support/memory_record_store.cc
@@ -6,7 +6,7 @@
 namespace frostline::testing {
 namespace {
 
-/// Time after which a call without an answer fails.
+/// Time after which a lost lease renewal fails.
 constexpr milliseconds k_lost_call_time{900};
 
 }  // namespace
--- a/tests/support/memory_record_store.h
+++ b/tests/support/memory_record_store.h
@@ -31,22 +31,23 @@
   std::vector<kv::key_value> list_now(std::string const& prefix) const;
   kv::revision revision_of(std::string const& key) const;
   std::uint32_t writes_of(std::string const& key) const;
-  /// The next `count` transactions are applied, but their callers get no answer.
+  /// The next `count` transactions are applied, but fail as `outcome_unknown`.
   void lose_answers(std::uint32_t count) { lost_answers_ = count; }
-  /// The next `count` lease renewals are dropped and get no answer.
+  /// The next `count` lease renewals have no effect and fail as `outcome_unknown` after a timeout.
   void lose_renewals(std::uint32_t count) { lost_renewals_ = count; }
-  /// The next transaction gets no answer; apply_delayed() applies it if its conditions still hold.
+  /// The next transaction fails as `outcome_unknown`; apply_delayed() applies it if its conditions
+  /// hold by then.
   void delay_next_write() { delay_next_ = true; }
   void apply_delayed();
   /// Runs `action` once, after the next transaction is applied and before it is answered.
   void before_next_answer(std::function<void()> action) { before_answer_ = std::move(action); }
-  /// Expires all leases.
+  /// Expires all leases and removes their records.
   void expire_leases();
-  /// Sets the maximum number of records in one answer.
+  /// Sets the number of records above which exceeds_one_page() returns true.
   void set_page(std::size_t records) { page_ = records; }
   /// Drops the history: watches from an earlier revision return `compacted`.
   void compact();
-  /// While set, all calls fail as unavailable.
+  /// While set, all calls except end_lease() fail as `unavailable`.
   void set_down(bool down) { down_ = down; }
   std::uint64_t watches() const { return watches_; }
 
