--- a/rehearsal/chaos.cc
+++ b/rehearsal/chaos.cc
@@ -79,7 +79,7 @@
   return pairs;
 }
 
-/// Draws `count` pairs: repeated rounds of all pairs, each in random order.
+/// Draws `count` pairs: repeated rounds of all pairs, each round in random order.
 std::vector<fault_pair> draw_pairs(std::uint64_t seed, std::size_t count) {
   std::mt19937_64 random(seed);
   std::vector<fault_pair> pairs;
@@ -102,8 +102,8 @@
  public:
   explicit fault_injector(cluster& system) : system_(system) {}
 
-  /// Injects both faults, ends them and waits until batches are delivered again.
-  /// @return recovery time in seconds.
+  /// Injects both faults, ends them and waits until all nodes are ready and batches are delivered
+  /// again. @return seconds from the end of the faults until then.
   double inject(fault_pair const& pair) {
     inject(pair.first, pair.target);
     inject(pair.second, pair.target + 1);
@@ -284,7 +284,7 @@
   load::check_options check;
   check.folder = journals;
   auto verdict = load::check_journals(check);
-  // Killed nodes cut connections, so these are reported but don't fail the run.
+  // Killed nodes cut connections, so cut requests are reported but don't fail the run.
   std::uint64_t const cut = verdict.requests_cut;
   verdict.requests_cut = 0;
   json::object body = verdict.to_json();
--- a/rehearsal/demo.cc
+++ b/rehearsal/demo.cc
@@ -38,7 +38,7 @@
       [&] { return finished_batches(system, 0) >= wanted; }, frostline::milliseconds(60'000));
 }
 
-/// Injects the failures one by one; each waits for further committed batches.
+/// Injects the failures one by one, each after further batches were committed.
 void cause_failures(cluster& system) {
   wait_for_batches(system, 2);
   print_line("killing " + cluster::engine_name(k_killed_engine));
--- a/rehearsal/measure_control.cc
+++ b/rehearsal/measure_control.cc
@@ -1,6 +1,6 @@
 /// @file Measures the control plane of emulated nodes: traffic, CPU, memory and key-value
-/// operations per node, and the time until all nodes know of a change, a version, a join or a lost
-/// zone.
+/// operations per node, and the time until a change has reached all nodes, a version all engines,
+/// and until all nodes know that a zone was lost or has joined.
 
 #include <signal.h>
 
@@ -103,7 +103,7 @@
 
   child_process& process(std::string const& name) { return *processes_.at(name); }
 
-  /// Returns the address of a node, from the machine list.
+  /// Returns the address of a node in zone-0 according to the machine list.
   endpoint any_node() {
     if (node_.port != 0) return node_;
     auto const answer = client_.exchange(machines_, http::make_get("/v1/machines"), k_call_timeout);
--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -105,7 +105,7 @@
     while (boot_clock::now() < end) cause_random_pair();
     poison_requests_.stop();
     bool const recovered = wait_for_recovery();
-    // With many nodes the checks take longer than results are retained.
+    // The results are read first, since the checks of many nodes outlast the retention of results.
     finish_training();
     start_training(k_max_reads_after_faults);
     check_poison_requests();
@@ -182,7 +182,7 @@
   }
 
   /// Checks that an acknowledged configuration reaches all nodes in time although all connections
-  /// that were open before have gone silent.
+  /// that were open before the change have gone silent.
   void check_added_route() {
     wait_for_recovery();
     system_.silence_connections(connected_part::all);
@@ -300,7 +300,8 @@
   void end_job(job_record& job) {
     job.ended = system_.end_job(pick(FLAGS_nodes), job.job) == 200;
     job.ended_at = boot_clock::now();
-    // Without a response the job may or may not have ended, so the checker ignores it.
+    // Without status 200 the job may or may not have ended, so the checker must not require its
+    // results.
     if (!job.ended) job.accepted = false;
   }
 
--- a/rehearsal/poison_requests.h
+++ b/rehearsal/poison_requests.h
@@ -19,8 +19,8 @@
 /// Each poison request carries a unique marker in its body.
 class poison_requests {
  public:
-  /// @param key API key that the requests are sent with.
-  /// @param call_timeout after which a caller closes its connection.
+  /// @param key API key of the calls.
+  /// @param call_timeout time after which a caller closes its connection.
   poison_requests(platform_cluster& system, std::string key, std::uint64_t seed,
                   milliseconds call_timeout);
   ~poison_requests();
@@ -33,13 +33,15 @@
   void submit_poison_job();
   /// Stops the sender thread. Call this before `check`.
   void stop();
-  /// Sends each request again through every node, after all faults have ended.
+  /// After all faults have ended, sends each call that crashed at least three servers again through
+  /// every node, and submits the samples of each job again.
   /// @param wait_for_service waits until harmless calls are served.
   /// @return requests that reached servers more often than allowed, and jobs whose harmless
   /// samples were not completed.
   std::vector<violation> check(std::function<void()> const& wait_for_service);
+  /// Number of poison requests: all calls, and two for each job.
   std::size_t count() const { return calls_ + 2 * jobs_; }
-  /// Attempts of all calls.
+  /// Number of times that calls were sent, including repetitions.
   std::uint64_t sent() const { return next_id_; }
   /// Number of requests that crashed at least three servers; valid after `check`.
   std::size_t retries_checked() const { return retries_checked_; }
--- a/rehearsal/soak_faults.h
+++ b/rehearsal/soak_faults.h
@@ -37,7 +37,7 @@
   std::vector<soak_fault> const& all() const { return faults_; }
   /// Throws std::logic_error if no fault has this name.
   soak_fault const& find(std::string_view name) const;
-  /// Makes the next version of the weights the wanted one. @return its number.
+  /// Announces the next weight version for engines to load. @return its number.
   std::uint64_t announce_next_version();
   std::uint64_t newest_version();
   /// Stores a new configuration with one more route, which leads to the application servers.
--- a/src/bulk/client.h
+++ b/src/bulk/client.h
@@ -26,7 +26,7 @@
 
 /// Bulk data of a shard, merged from all disk nodes that replied.
 struct recovered_bulk {
-  /// Groups and samples without duplicates.
+  /// Groups and samples without duplicates; a sample may be present once for each attempt.
   rpc::LoadBulkResponseT content;
   /// Groups and samples with fewer replicas than configured.
   rpc::StoreBulkRequestT under_replicated;
--- a/src/rollout/service.h
+++ b/src/rollout/service.h
@@ -26,8 +26,8 @@
   std::vector<ownership::resource> list_resources() const;
   /// Starts and stops shard owners and engine controllers to match what this node owns.
   void reconcile();
-  /// Stops all shard owners. Runs in flight on engines that this node controls continue;
-  /// `runs_in_flight` returns their number.
+  /// Stops all shard owners and engine controllers. Runs in flight on engines that this node
+  /// controls continue; `runs_in_flight` returns their number.
   void stop_owners();
   std::size_t runs_in_flight() const;
   /// Interrupts the remaining runs, so that the shards' owners can resume them elsewhere.
@@ -58,7 +58,7 @@
   bulk::store* local_bulk_;
   std::map<std::string, std::shared_ptr<shard_owner>> owners_;
   std::map<std::string, std::shared_ptr<engines::controller>> controllers_;
-  /// Replaced controllers whose runs have not ended yet.
+  /// Replaced or released controllers with runs in flight.
   std::vector<std::shared_ptr<engines::controller>> draining_controllers_;
   bool stopping_ = false;
 };
--- a/src/standin/kv_store.h
+++ b/src/standin/kv_store.h
@@ -28,7 +28,7 @@
   std::optional<kv::transaction_answer> apply(kv::transaction const& change);
 
   kv::lease_id grant(seconds time_to_live, time_point now);
-  /// @return remaining seconds; 0 if the lease doesn't exist.
+  /// Renews a lease. @return its time to live in seconds; 0 if the lease doesn't exist.
   std::uint64_t keep_alive(kv::lease_id lease, time_point now);
   void revoke(kv::lease_id lease);
   /// Revokes expired leases, which deletes their keys.
--- a/tests/platform_standin/cluster_queries.h
+++ b/tests/platform_standin/cluster_queries.h
@@ -16,7 +16,7 @@
 std::size_t count_arrivals(platform_cluster& system, std::string const& prefix);
 /// Like count_arrivals(), but counts only requests that were run.
 std::size_t count_runs(platform_cluster& system, std::string const& prefix);
-/// Returns the times at which poison requests reached a server, sorted.
+/// Returns the times at which requests that crashed a server reached it, sorted.
 std::vector<time_point> poison_arrivals(platform_cluster& system);
 /// Counts records in the store whose keys start with `prefix`.
 std::size_t count_records(platform_cluster& system, std::string const& prefix);
--- a/tests/platform_standin/platform_cluster.h
+++ b/tests/platform_standin/platform_cluster.h
@@ -111,7 +111,7 @@
   /// Returns the log of the node's current process.
   std::string log(std::size_t index) const;
   std::string const& folder() const { return folder_; }
-  /// Waits until the store names an owner of the pool. @return the owner's index.
+  /// Waits until the store names an owner of the engine pool. @return the owner's index.
   std::size_t owner();
   /// Waits until the store names a relay for a zone. @return the relay's index.
   std::size_t relay(std::uint32_t zone = 0);
@@ -121,6 +121,7 @@
   std::size_t duty_holder();
   std::optional<std::size_t> find_duty_holder();
   /// Sends one request to a node's client address.
+  /// @param timeout deadline sent with the request, and time limit for the answer.
   /// @param key API key that replaces the one set by use_key().
   result<http::response> call(std::size_t node, http::verb method, std::string const& path,
                               std::string const& request_id, std::string const& body = "",
@@ -129,9 +130,10 @@
   /// Sends a request with a deadline of 5 s, but closes the connection after `read_timeout`.
   void call_and_disconnect(std::size_t node, std::string const& path, std::string const& request_id,
                            std::string const& body, milliseconds read_timeout);
+  /// Submits a job. @return the HTTP status; 0 without an answer.
   unsigned submit(std::size_t node, std::string const& job, std::vector<test_item> const& items,
                   std::uint64_t min_version = 1);
-  /// Ends a job. @return the status; 0 without an answer.
+  /// Ends a job. @return the HTTP status; 0 without an answer.
   unsigned end_job(std::size_t node, std::string const& job);
   /// Reads the body of a job's item.
   result<http::response> item_body(std::size_t node, std::string const& job,
@@ -162,7 +164,7 @@
   /// Sends a request to a node's client address and reads the answer within `read_timeout`.
   result<http::response> exchange(std::size_t node, http::request const& message,
                                   milliseconds read_timeout) const;
-  /// Returns the index of the node named by a record of the store.
+  /// Returns the index of the node named by the store's record `key`; nothing if none is named.
   std::optional<std::size_t> find_named(std::string const& key);
 
   platform_options options_;
--- a/tests/platform_standin/store_standin.h
+++ b/tests/platform_standin/store_standin.h
@@ -21,6 +21,7 @@
   bool silent = false;
   /// Requests are answered 503 and have no effect.
   bool busy = false;
+  /// Delay before each request is handled.
   milliseconds delay{0};
   /// Number of transactions that are committed but never answered.
   std::uint32_t lost_transactions = 0;
@@ -96,7 +97,8 @@
   std::uint64_t next_lease_ = 1;
   std::uint64_t cuts_ = 0;
   std::map<std::string, std::size_t> waiting_watches_;
-  /// Watches of an earlier generation are never answered.
+  /// Incremented by stall_watches(); watches that wait since an earlier generation are never
+  /// answered.
   std::uint64_t watch_generation_ = 0;
   std::uint64_t transactions_ = 0;
   std::map<std::string, std::uint64_t> answered_watches_;
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -18,7 +18,7 @@
   std::int64_t reset_after_answer_bytes = -1;
   /// Forwards nothing but keeps connections open.
   bool stall = false;
-  /// Closes new connections immediately.
+  /// Resets new connections immediately.
   bool refuse = false;
   /// Delay before each chunk is forwarded.
   std::int64_t delay_ms = 0;
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -21,7 +21,8 @@
 
 constexpr std::chrono::milliseconds k_poll{10};
 
-/// Running child processes, so that none outlives a test that ends with an exception.
+/// Running child processes. The terminate handler kills them, so that none outlives a test that
+/// ends with an uncaught exception.
 std::set<pid_t>& running_processes() {
   static std::set<pid_t> pids;
   return pids;
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,4 +1,4 @@
-/// @file A child process with its own log file; it is killed when its owner is destroyed.
+/// @file A child process with its own log file; the destructor kills the process.
 #pragma once
 
 #include <sys/types.h>
--- a/tests/support/raw_connection.h
+++ b/tests/support/raw_connection.h
@@ -16,8 +16,9 @@
   /// Shuts down the sending side only.
   void finish_sending();
   /// Reads until the peer closes, `until` has been received, or `timeout` has passed.
+  /// @return all unread bytes, or those up to and including `until` if it was received.
   std::string read(std::string const& until = {}, milliseconds timeout = milliseconds(5000));
-  /// Returns true if the peer has closed or reset the connection.
+  /// Returns true if a send or read has found the connection closed or reset.
   bool closed() const { return closed_; }
 
  private:
--- a/tests/support/silent_connections.cc
+++ b/tests/support/silent_connections.cc
@@ -34,7 +34,8 @@
 
 using name_call = int (*)(int, sockaddr*, socklen_t*);
 
-/// Returns an address of a TCP socket; nothing if it has no address or is not a TCP socket.
+/// Returns the address of a socket that `call` reads; nothing if the socket has none or is not an
+/// IPv4 socket.
 std::optional<tcp::endpoint> address_of(int socket, name_call call) {
   tcp::endpoint found;
   socklen_t size = static_cast<socklen_t>(found.capacity());
@@ -50,7 +51,7 @@
   return ::getsockopt(socket, SOL_SOCKET, SO_TYPE, &kind, &size) == 0 && kind == SOCK_STREAM;
 }
 
-/// Attaches a socket filter that drops all incoming data.
+/// Attaches a socket filter that drops all incoming segments.
 void drop_arrivals(int socket) {
   sock_filter drop_all = BPF_STMT(BPF_RET | BPF_K, 0);
   sock_fprog const program{1, &drop_all};
