--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -45,7 +45,7 @@
 /// Time after its acceptance for which a fully read job must still be listed. Must be below
 /// jobs.retention_seconds.
 constexpr milliseconds k_min_job_retention{100'000};
-/// Reads of one job, 0.1 s apart, before the next job is submitted.
+/// Maximum number of reads of one job, 0.1 s apart, before the next job is submitted.
 constexpr int k_max_reads_under_faults = 12;
 constexpr int k_max_reads_after_faults = 100;
 constexpr milliseconds k_order_gap{300};
@@ -62,7 +62,7 @@
 constexpr milliseconds k_fault_duration{1500};
 constexpr milliseconds k_pause_between_faults{700};
 constexpr milliseconds k_suspension_duration{2200};
-/// No job is accepted while a fault stops all nodes.
+/// Time limit for waiting until a job is accepted. None is accepted while a fault stops all nodes.
 constexpr milliseconds k_acceptance_timeout{1500};
 constexpr milliseconds k_recovery_timeout{12'000};
 constexpr milliseconds k_recovery_call_timeout{5000};
@@ -240,7 +240,7 @@
     }
   }
 
-  /// @param max_reads reads of one job before the next job is submitted.
+  /// @param max_reads maximum number of reads of one job before the next job is submitted.
   void start_training(int max_reads) {
     training_ = true;
     trainer_ = std::thread([this, max_reads] { train_loop(max_reads); });
--- a/tests/platform_standin/platform_cluster.h
+++ b/tests/platform_standin/platform_cluster.h
@@ -138,7 +138,7 @@
   /// Reads the body of a job's item.
   result<http::response> item_body(std::size_t node, std::string const& job,
                                    std::string const& item);
-  /// Returns the header of an answer that proves which server produced it.
+  /// Returns the server stamp of an answer, a header that the server sets; empty if absent.
   static std::string stamp_of(http::response const& answer);
   /// Writes the operator's request to evacuate a storage machine.
   void request_evacuation(std::string const& machine);
--- a/tests/support/process_cost.h
+++ b/tests/support/process_cost.h
@@ -5,9 +5,9 @@
 
 namespace frostline::testing {
 
-/// CPU time in seconds.
+/// User and system CPU time in seconds since the start of the process.
 double cpu_seconds(pid_t process);
-/// Resident memory in MiB.
+/// Resident memory in MiB; 0 if the process does not exist.
 double resident_mib(pid_t process);
 
 }  // namespace frostline::testing
