--- a/rehearsal/platform_soak.cc
+++ b/rehearsal/platform_soak.cc
@@ -42,9 +42,10 @@
 
 constexpr std::uint32_t k_events_per_sample = 5;
 constexpr std::size_t k_samples_per_job = 12;
-/// Below jobs.retention_seconds: until then a fully read job must still be listed.
+/// Time after its acceptance for which a fully read job must still be listed. Must be below
+/// jobs.retention_seconds.
 constexpr milliseconds k_min_job_retention{100'000};
-/// Reads of one job, 0.1 s apart, before the next job is submitted.
+/// Maximum number of reads of one job, 0.1 s apart, before the next job is submitted.
 constexpr int k_max_reads_under_faults = 12;
 constexpr int k_max_reads_after_faults = 100;
 constexpr milliseconds k_order_gap{300};
@@ -61,11 +62,12 @@
 constexpr milliseconds k_fault_duration{1500};
 constexpr milliseconds k_pause_between_faults{700};
 constexpr milliseconds k_suspension_duration{2200};
-/// No job is accepted while a fault stops all nodes.
+/// Time limit for waiting until a job is accepted. None is accepted while a fault stops all nodes.
 constexpr milliseconds k_acceptance_timeout{1500};
 constexpr milliseconds k_recovery_timeout{12'000};
 constexpr milliseconds k_recovery_call_timeout{5000};
-/// Time after the last fault in which all nodes receive all changes.
+/// Time after the last fault or after a change within which all nodes must have received all
+/// changes.
 constexpr milliseconds k_propagation_time{3000};
 /// Long enough that some calls are in flight when an application server crashes.
 constexpr milliseconds k_call_service_time{8};
@@ -103,7 +105,7 @@
     while (boot_clock::now() < end) cause_random_pair();
     poison_requests_.stop();
     bool const recovered = wait_for_recovery();
-    // With many nodes the checks take longer than results are retained.
+    // The results are read first, since the checks of many nodes outlast the retention of results.
     finish_training();
     start_training(k_max_reads_after_faults);
     check_poison_requests();
@@ -171,7 +173,7 @@
     return false;
   }
 
-  /// Checks that requests which crashed three servers reach few more after the last fault.
+  /// Checks that requests which crashed three servers crash few more after the last fault.
   void check_poison_requests() {
     time_point const propagated_by = boot_clock::now() + k_propagation_time;
     while (boot_clock::now() < propagated_by) all_nodes_serve();
@@ -180,7 +182,7 @@
   }
 
   /// Checks that an acknowledged configuration reaches all nodes in time although all connections
-  /// that were open before have gone silent.
+  /// that were open before the change have gone silent.
   void check_added_route() {
     wait_for_recovery();
     system_.silence_connections(connected_part::all);
@@ -238,7 +240,7 @@
     }
   }
 
-  /// @param max_reads reads of one job before the next job is submitted.
+  /// @param max_reads maximum number of reads of one job before the next job is submitted.
   void start_training(int max_reads) {
     training_ = true;
     trainer_ = std::thread([this, max_reads] { train_loop(max_reads); });
@@ -298,7 +300,8 @@
   void end_job(job_record& job) {
     job.ended = system_.end_job(pick(FLAGS_nodes), job.job) == 200;
     job.ended_at = boot_clock::now();
-    // Without a response the job may or may not have ended, so the checker ignores it.
+    // Without status 200 the job may or may not have ended, so the checker must not require its
+    // results.
     if (!job.ended) job.accepted = false;
   }
 
