--- a/rehearsal/poison_requests.h
+++ b/rehearsal/poison_requests.h
@@ -53,8 +53,11 @@
   bool is_harmless_sample_completed(std::string const& job, std::size_t number);
   /// Returns when the request with this marker crashed servers, in ascending order.
   std::vector<time_point> crash_times(std::string const& marker);
-  /// Checks that few retries reached servers after the third crash.
-  /// @param faults_ended_at no node is disturbed after this time.
+  /// Checks that the request with this marker, if it has crashed at least three servers, caused at
+  /// most `k_retries_allowed` late crashes: those after `faults_ended_at` and more than
+  /// `k_propagation_time` after the third crash.
+  /// @param faults_ended_at no node is disturbed after this time. Earlier crashes are not counted,
+  /// since faults may delay the quarantine.
   void check_retries(std::string const& marker, time_point faults_ended_at,
                      std::vector<violation>& broken);
   void check_call(std::size_t call, std::function<void()> const& wait_for_service,
--- a/src/bulk/client.h
+++ b/src/bulk/client.h
@@ -36,7 +36,7 @@
 
 class client {
  public:
-  /// @param self this node as a replica.
+  /// @param self identifies this node among the disk nodes (the nodes with a data folder).
   /// @param local the store of this node, or null if it has no data folder.
   /// @param replica_count number of disk nodes that must store each item.
   client(http::client& transport, membership::table const& members, replica self, store* local,
--- a/src/engines/version_planner.cc
+++ b/src/engines/version_planner.cc
@@ -11,8 +11,8 @@
 /// Engines wanted in addition to a model's share, to absorb peaks of demand.
 constexpr std::size_t k_extra_engines = 1;
 constexpr std::size_t k_min_engines = 2;
-/// Engine slots wanted per sample of a model's latest job. The spare slots serve a second open job,
-/// keep utilization low, and let runs on slow engines move (docs/design/changed-workload.md).
+/// Number of engine slots to provide for each sample of a model's latest job
+/// (docs/design/changed-workload.md).
 constexpr std::size_t k_slots_per_sample = 12;
 
 /// Planned and actual engine counts of one model.
--- a/src/engines/weight_orders.cc
+++ b/src/engines/weight_orders.cc
@@ -169,7 +169,8 @@
   if (!authority_.may_order()) return;
   for (planned_order const& order : plan_orders(board_, demands_, options_)) {
     engine_entry const* const entry = board_.find(order.engine);
-    // After a refusal, `ordered_at` is in the future.
+    // If the last order failed or its outcome is unknown, `ordered_at` was set to the time when the
+    // next order may be sent.
     if (entry == nullptr || entry->ordered_at > now || entry->blocked_until > now) continue;
     board_.begin_load(order.engine, order.model, order.version, now);
     spawn(context_, send_order(entry->server, order));
--- a/src/engines/weight_orders.h
+++ b/src/engines/weight_orders.h
@@ -40,7 +40,8 @@
                 std::size_t samples);
   /// Newest published version; 0 if there is none.
   std::uint64_t newest(std::string const& model) const;
-  /// Plans and sends the orders that are due. Called after each change and periodically.
+  /// Checks pending loads. If this node may send orders, also plans and sends those that are due.
+  /// Called periodically, and soon after changes of engines or demand.
   void advance(time_point now);
   /// Discards the state of earlier orders at the start of a new term of ownership.
   void begin_term();
--- a/src/gateway/metrics.h
+++ b/src/gateway/metrics.h
@@ -30,7 +30,7 @@
 };
 
 struct usage_snapshot {
-  /// True if this node holds the lease of the duties.
+  /// True if this node is the duty holder: the one that reports usage to the duty service.
   bool is_holder = false;
   usage::reporter_counters counters;
   /// Requests that were counted after their window had closed.
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -81,7 +81,8 @@
   rpc::ProgressReplyT replicate(rpc::ProgressReportT report);
   /// Wakes up the owner's loop, for example after a change of the configuration.
   void notify();
-  /// Notes servers that were added, changed or removed.
+  /// Marks these servers as added, changed or removed, so that the owner's loop updates its list of
+  /// engines. On a node in standby, the whole list is rebuilt when the node becomes owner.
   void note_servers(std::vector<std::string> const& ids);
   /// Commits finished results and replicates progress before the lease is handed over. Waits for
   /// the commits until `deadline`.
@@ -90,7 +91,8 @@
  private:
   void on_lease_gained();
   void on_lease_lost();
-  /// Returns to standby after another node has taken over the pool.
+  /// Aborts all runs, discards the pool's jobs and engines and returns to standby, because another
+  /// node has taken over the pool.
   void drop_state();
   /// Reports a job's demand to the planner of weight loads.
   void note_job(rpc::JobRecordT const& record);
--- a/src/jobs/record_log.h
+++ b/src/jobs/record_log.h
@@ -78,8 +78,8 @@
   void write_record(rpc::JobRecordT const& record, completion_handler on_done);
   void write_results(rpc::ResultBatchT const& batch, completion_handler on_done);
   void write_end(std::string const& job, rpc::JobEndT const& end, completion_handler on_done);
-  /// Writes the progress of one job's samples without reporting the outcome: a lost checkpoint only
-  /// costs a rerun.
+  /// Writes the progress of one job's samples. The caller is not told whether the write succeeded,
+  /// because a lost checkpoint only means that samples may have to run again.
   void write_checkpoint(rpc::ProgressReportT const& report);
   /// Removes records of forgotten jobs.
   void remove(std::vector<std::string> keys);
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -32,7 +32,8 @@
   awaitable<result<std::uint64_t>> keep_alive(lease_id lease);
   awaitable<result<std::uint64_t>> revoke(lease_id lease);
   /// Passes changes below `prefix` from revision `start` on to `sink`, until the stream ends or
-  /// `sink` returns false. @return always an error, also if the stream ended normally.
+  /// `sink` returns false.
+  /// @return the reason why the stream ended; never success, even after a normal end.
   awaitable<std::error_code> watch(std::string prefix, revision start,
                                    std::function<bool(watch_batch const&)> sink);
 
--- a/src/load/emulation.h
+++ b/src/load/emulation.h
@@ -17,7 +17,7 @@
   endpoint control;
   /// Nodes or engines in this process.
   std::uint32_t count = 1;
-  /// Number in the name of the first node or engine.
+  /// Names are numbered from here: with 5, the first node is node-5, or the first engine engine-5.
   std::uint32_t first = 0;
   std::string zone;
   /// Number of zones over which the engines are spread.
--- a/src/ownership/owner_lease.h
+++ b/src/ownership/owner_lease.h
@@ -122,8 +122,9 @@
   /// Applies the current records that the store returned with a refused transaction.
   void apply_current_records(std::vector<kv::key_value> const& records);
   void apply_owner_record(kv::key_value const* record);
-  /// Forgets an owner that the watcher has not confirmed within a lease time, so that this node
-  /// tries to acquire the resource again.
+  /// Forgets an owner that was seen only in the store's reply to a refused transaction, if the
+  /// store's watch has reported no change of the owner record within `time_to_live` since. This
+  /// node then tries to acquire the resource again.
   void forget_unconfirmed_owner();
   void stop_owning(std::string_view cause);
 
--- a/src/quarantine/quarantine_list.h
+++ b/src/quarantine/quarantine_list.h
@@ -1,14 +1,19 @@
 /// @file The quarantine records that this node has received: which requests are refused, and when
 /// each may be tried again. No I/O; reads no clock.
 ///
-/// A record takes effect a moment after this node has received it, so that a node where a server
-/// answers the request can remove the record first. A record is removed when a trial is answered or
-/// by an operator.
+/// A full record takes effect on this node `k_effect_delay` after the node has received it. From
+/// then on the node refuses the request, except for trials. During the delay, a node where a server
+/// answers the request can remove the record.
 ///
-/// A suspicion is a record written before the request has crashed enough servers to be refused, so
-/// that the evidence survives the loss of all nodes. Only nodes that find a suspicion when they
-/// start refuse the request because of it, since a popular request may run on crashing servers
-/// without being the cause.
+/// A record is removed from the store if a server answers the request, in a trial or otherwise. If
+/// there are more than `k_max_entries` records, the least recently changed one is removed. An
+/// operator may also delete a record.
+///
+/// A suspicion is a record of a request that has crashed too few servers for a full record. It is
+/// written early, so that the evidence survives the loss of all nodes. Its writer soon removes it
+/// unless it has become a full record. A suspicion takes effect only on nodes that find it when
+/// they start, after `k_suspicion_effect_delay`. Other nodes ignore it when they check a request,
+/// since a popular request may run on crashing servers without being the cause.
 #pragma once
 
 #include <cstdint>
--- a/src/quarantine/service.h
+++ b/src/quarantine/service.h
@@ -63,8 +63,10 @@
   std::uint64_t crashes = 0;
   std::uint64_t refused = 0;
   std::uint64_t trials = 0;
-  /// Records written by this node, and records it removed because the request was answered.
+  /// Records written by this node, including suspicions.
   std::uint64_t records_written = 0;
+  /// Records that this node removed, because the request was answered or because there were more
+  /// than `quarantine_list::k_max_entries`.
   std::uint64_t revoked = 0;
 };
 
--- a/src/quarantine/service_evidence.cc
+++ b/src/quarantine/service_evidence.cc
@@ -49,8 +49,8 @@
 }
 
 std::size_t service::min_stored_crashes() const {
-  // Without collectors, as after a full restart, the store is the only place where evidence of
-  // different nodes is combined.
+  // Without collectors, as after a full restart, evidence of different nodes is combined only in
+  // the store, so even a single crash is stored.
   return dependencies_.find_collectors().empty() ? 1 : k_stored_crashes;
 }
 
--- a/src/relay/claim_timer.h
+++ b/src/relay/claim_timer.h
@@ -23,7 +23,8 @@
   /// Additional delay before replacing a relay while no relay of another zone serves this node
   /// either, since this node itself may be partitioned.
   milliseconds isolation_timeout{3000};
-  /// Minimum time from one claim to the next, plus jitter.
+  /// Time from an attempt to claim the record to the next attempt, if the record is unchanged and
+  /// the relay still fails. A random delay of up to `jitter` is added.
   milliseconds retry_backoff{2000};
 };
 
--- a/src/relay/peer_poll.h
+++ b/src/relay/peer_poll.h
@@ -1,4 +1,4 @@
-/// @file Polls another node for records that are newer than this node's views.
+/// @file A poll that asks another node for records newer than this node's own copies.
 #pragma once
 
 #include <array>
--- a/src/relay/record_feed.h
+++ b/src/relay/record_feed.h
@@ -152,9 +152,10 @@
   void note_result(endpoint const& peer, poll_result const& result);
   /// Records that `peer` serves this node.
   void note_served(endpoint const& peer, bool is_relay);
-  /// Returns true if an answer that is not authoritative only for the servers is acceptable for
-  /// now. The relay looks for another source itself; if every node did, the number of store
-  /// requests would grow with the number of nodes.
+  /// Returns true if the peer's answer is authoritative for all topics except the servers' records,
+  /// and this has not yet lasted `k_servers_timeout`. Until then this node leaves it to the relay
+  /// to find another source: if every node looked for one, the number of store requests would grow
+  /// with the number of nodes.
   bool tolerates_server_doubt(poll_result const& result, time_point now);
   /// Keeps the servers' records of a relay or direct node current by polling the owner of a pool
   /// or, failing that, following the store.
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -55,7 +55,7 @@
   std::list<cached_prompt> recent_;
 };
 
-/// Result of checking a fenced order.
+/// Result of checking a load order, which carries the epoch of its sender.
 enum class order_result { accepted, stale_epoch, conflicting_content };
 
 class engine_model {
--- a/tests/integration/leaving_test.cc
+++ b/tests/integration/leaving_test.cc
@@ -101,9 +101,10 @@
   CHECK_TRUE_TEXT(report.is_good(), describe(report).c_str());
 }
 
+// A node that reaches neither the store nor another node must refuse calls, because it may miss
+// drains accepted elsewhere.
 TEST(leaving_test, isolated_node_sends_nothing) {
-  // The store is down and the other nodes are suspended, so node 0 may be partitioned and can miss
-  // drains accepted elsewhere.
+  // Before the outage, node 0 serves calls.
   CHECK_FALSE(server_of_call(0).empty());
   system.set_faults(system.kv(), {{"outage_ms", 60'000}});
   system.process("node-1").send_signal(SIGSTOP);
--- a/tests/platform_standin/duty_standin.h
+++ b/tests/platform_standin/duty_standin.h
@@ -1,5 +1,6 @@
-/// @file Stand-in for the platform's duty service, which one node at a time calls. It accepts usage
-/// reports without checking fences and records them, so that violations can be listed later.
+/// @file Stand-in for the platform's duty service. Only one node at a time may send it usage
+/// reports. Unless a fault is injected, it accepts and records every well-formed report, including
+/// those with an outdated fence number, so that tests can list rule violations afterwards.
 #pragma once
 
 #include <cstdint>
--- a/tests/unit/calls/give_up_test.cc
+++ b/tests/unit/calls/give_up_test.cc
@@ -1,4 +1,5 @@
-/// @file Tests for the Retry-After header of requests without a server's answer.
+/// @file Tests for the Retry-After header of the response that a caller gets if no server answered
+/// the request.
 
 #include <CppUTest/TestHarness.h>
 
